--- a/src/directory_follower.cpp
+++ b/src/directory_follower.cpp
@@ -67,7 +67,7 @@
     }
     progress.number = page.upTo;
     if (page.last && std::exchange(progress.listing, false)) {
-        m_targets.keepVouched(replica, std::exchange(progress.listed, {}));
+        m_targets.withdrawReportsExcept(replica, std::exchange(progress.listed, {}));
     }
     return page.last && page.informed ? PageVerdict::Completed : PageVerdict::Taken;
 }
@@ -82,7 +82,7 @@
 void DirectoryFollower::forget(ReplicaId replica)
 {
     m_progress.erase(replica);
-    m_targets.forgetReplica(replica, true);
+    m_targets.dropReplicaReports(replica, true);
 }
 
 } // namespace Robinrail
--- a/src/flow_packet.h
+++ b/src/flow_packet.h
@@ -28,7 +28,7 @@
 // How long a caller waits after a copy of its opening packet until it sends the next one, as far as a balancer may
 // count on it: 200, 400 and 800 ms, less what a packet may take on its way. Whoever hands on a copy later than that
 // may open the flow a second time.
-inline Duration timeUntilNextCopy(std::uint8_t copy)
+inline Duration retransmissionDelay(std::uint8_t copy)
 {
     constexpr Duration FirstPause = std::chrono::milliseconds(200);
     constexpr Duration Slack = std::chrono::milliseconds(30);
--- a/src/flow_steering.cpp
+++ b/src/flow_steering.cpp
@@ -39,7 +39,7 @@
     return ReasonNames[static_cast<std::size_t>(reason)];
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 BasicFlowSteering<Choice>::BasicFlowSteering(DataCentreId dataCentre)
     : m_dataCentre(dataCentre)
 {
@@ -47,19 +47,19 @@
 
 // ---- Routes ----
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 bool BasicFlowSteering<Choice>::apply(const RoutingTable &table)
 {
     return m_routes.apply(table);
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 std::uint64_t BasicFlowSteering<Choice>::version() const
 {
     return m_routes.table().version;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 void BasicFlowSteering<Choice>::setDrained(TimePoint now, std::span<const DataCentreId> drained)
 {
     for (const DataCentreId dataCentre : m_routes.setDrained(drained)) {
@@ -67,7 +67,7 @@
     }
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 void BasicFlowSteering<Choice>::setInformed()
 {
     m_informed = true;
@@ -75,7 +75,7 @@
 
 // ---- Packets ----
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 SteeringDecision BasicFlowSteering<Choice>::steer(TimePoint now, const FlowPacket &packet)
 {
     const SteeringDecision decision = packet.opening ? open(now, packet) : follow(now, packet);
@@ -85,10 +85,10 @@
 
 // An opening packet. The same copy goes to the same target. A later copy says that the target stayed silent
 // for 200 ms or more, or that a packet was lost; either way another target is the better bet.
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 SteeringDecision BasicFlowSteering<Choice>::open(TimePoint now, const FlowPacket &packet)
 {
-    if (packet.waited >= timeUntilNextCopy(packet.copy)) {
+    if (packet.waited >= retransmissionDelay(packet.copy)) {
         return drop(SteeringReason::LateOpening);
     }
     const Route *route = m_routes.find(packet.route);
@@ -103,8 +103,8 @@
     const bool late = flow != nullptr && flow->open && packet.copy > 0;
     if (late || (flow != nullptr && !flow->open && value(flow->target) != 0)) {
         SteeredTarget *first = m_targets.find(flow->target);
-        const bool tooSoon = flow->sentAt.elapsed(now) < MinCopyPause;
-        const bool stays = first != nullptr && takesNewFlows(*first);
+        const bool tooSoon = flow->sentAt.elapsed(now) < MinRetransmitInterval;
+        const bool stays = first != nullptr && acceptsNewFlows(*first);
         if (late && first != nullptr && !stays) {
             return drop(SteeringReason::LateOpening);
         }
@@ -117,7 +117,7 @@
             reason = SteeringReason::OtherTarget;
         }
     }
-    const ChoiceContext context{now, detail::FlowKeyHash()(key), m_dataCentre};
+    const SelectionContext context{now, detail::FlowKeyHash()(key), m_dataCentre};
     SteeredTarget *target = choose(context, *route, avoid);
     if (target == nullptr) {
         return m_informed ? reset(SteeringReason::NoTarget, packet) : hold(SteeringReason::NotInformed);
@@ -126,14 +126,14 @@
         assign(*flow, *target);
         flow->copy = packet.copy;
         flow->sentAt = CoarseTime(now);
-        flow->opensHere = true;
+        flow->openingSeenHere = true;
         flow->open = false;
     }
     return forward(reason, *target);
 }
 
 // A packet of a flow that its target has answered: the token says which target that is.
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 SteeringDecision BasicFlowSteering<Choice>::follow(TimePoint now, const FlowPacket &packet)
 {
     if (m_routes.wasRemoved(packet.route)) {
@@ -152,7 +152,7 @@
     if (target == nullptr) {
         return m_informed ? drop(SteeringReason::UnknownToken) : hold(SteeringReason::UnknownToken);
     }
-    if (target->record.phase == TargetPhase::Left && now - target->leftAt >= LeftGrace) {
+    if (target->record.phase == TargetPhase::Left && now - target->leftAt >= LeftTargetGrace) {
         return packet.reset ? drop(SteeringReason::TargetLeft) : reset(SteeringReason::TargetLeft, packet);
     }
     if (target->gone(now) && packet.dataBytes > 0) {
@@ -166,14 +166,14 @@
 }
 
 // What a packet tells about load and about the target's health.
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 void BasicFlowSteering<Choice>::observe(TimePoint now, const FlowPacket &packet, Flow &flow)
 {
     SteeredTarget &target = *m_targets.find(flow.target);
     const bool answered = !flow.open || behind(flow.acknowledged, packet.acknowledged);
     // Data of a flow that opened through another balancer may have been sent and repeated there for long.
-    const bool unheard = !flow.open && !flow.opensHere && packet.dataBytes > 0;
-    if (std::exchange(flow.opensHere, false)) {
+    const bool openedElsewhere = !flow.open && !flow.openingSeenHere && packet.dataBytes > 0;
+    if (std::exchange(flow.openingSeenHere, false)) {
         m_openTimes.record(flow.sentAt.elapsed(now));
     }
     if (answered && flow.busy) {
@@ -184,8 +184,8 @@
         flow.acknowledged = packet.acknowledged;
         setBusy(flow, false);
     }
-    if (answered && !unheard) {
-        m_targets.sawAlive(now, target);
+    if (answered && !openedElsewhere) {
+        m_targets.markAlive(now, target);
     }
     if (packet.dataBytes > 0) {
         const bool repeated = flow.busy && !behind(flow.sequence, packet.sequence);
@@ -208,8 +208,8 @@
 
 // ---- Choice ----
 
-template<SteeringChoice Choice>
-SteeredTarget *BasicFlowSteering<Choice>::choose(const ChoiceContext &context, const Route &route, FlowToken avoid)
+template<TargetSelectionPolicy Choice>
+SteeredTarget *BasicFlowSteering<Choice>::choose(const SelectionContext &context, const Route &route, FlowToken avoid)
 {
     SteeredTarget *target = chooseOf(context, serviceOf(route, context.flowHash), avoid);
     for (std::size_t i = 0; target == nullptr && i < route.services.size(); ++i) {
@@ -221,33 +221,33 @@
 }
 
 // The best of the targets without a blemish; if there are none, of those that are only suspect or silent.
-template<SteeringChoice Choice>
-SteeredTarget *BasicFlowSteering<Choice>::chooseOf(const ChoiceContext &context, std::uint16_t service, FlowToken avoid)
+template<TargetSelectionPolicy Choice>
+SteeredTarget *BasicFlowSteering<Choice>::chooseOf(const SelectionContext &context, std::uint16_t service, FlowToken avoid)
 {
-    enum class Blemish : std::uint8_t {
+    enum class Impairment : std::uint8_t {
         None,
         Suspect,
         Silent,
         Avoided,
     };
-    const auto blemishOf = [&](const SteeredTarget &target) {
+    const auto impairmentOf = [&](const SteeredTarget &target) {
         if (target.token == avoid) {
-            return Blemish::Avoided;
+            return Impairment::Avoided;
         }
         if (!m_targets.vouched(target)) {
-            return Blemish::Silent;
+            return Impairment::Silent;
         }
-        return target.suspect(context.now) ? Blemish::Suspect : Blemish::None;
+        return target.suspect(context.now) ? Impairment::Suspect : Impairment::None;
     };
-    const bool spareCold = m_routes.table().warmupOf(service).limited;
+    const bool excludeWarming = m_routes.table().warmupOf(service).limited;
     const auto takes = [&](const SteeredTarget &target) {
-        return takesNewFlows(target) && !(spareCold && context.now < target.warmAt);
+        return acceptsNewFlows(target) && !(excludeWarming && context.now < target.warmupEnd);
     };
     const std::span<SteeredTarget *const> targets = m_targets.ofService(m_routes.table().services[service]);
-    for (const Blemish worst : {Blemish::None, Blemish::Suspect, Blemish::Silent, Blemish::Avoided}) {
+    for (const Impairment worst : {Impairment::None, Impairment::Suspect, Impairment::Silent, Impairment::Avoided}) {
         m_candidates.clear();
         std::copy_if(targets.begin(), targets.end(), std::back_inserter(m_candidates), [&](const SteeredTarget *target) {
-            return takes(*target) && blemishOf(*target) <= worst;
+            return takes(*target) && impairmentOf(*target) <= worst;
         });
         if (!m_candidates.empty()) {
             return Choice::pick(m_candidates, context);
@@ -256,14 +256,14 @@
     return nullptr;
 }
 
-template<SteeringChoice Choice>
-bool BasicFlowSteering<Choice>::takesNewFlows(const SteeredTarget &target) const
+template<TargetSelectionPolicy Choice>
+bool BasicFlowSteering<Choice>::acceptsNewFlows(const SteeredTarget &target) const
 {
-    return target.record.phase == TargetPhase::Serving && !target.ambiguous && !m_routes.isDrained(target.record.dataCentre);
+    return target.record.phase == TargetPhase::Serving && !target.tokenCollision && !m_routes.isDrained(target.record.dataCentre);
 }
 
 // The flow's hash divides flows by weight, so that all copies of an opening packet get the same service.
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 std::uint16_t BasicFlowSteering<Choice>::serviceOf(const Route &route, std::uint64_t flowHash)
 {
     std::uint64_t total = 0;
@@ -282,7 +282,7 @@
 
 // ---- Flows ----
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 detail::SteeredFlow *BasicFlowSteering<Choice>::remember(TimePoint now, const FlowKey &key)
 {
     auto at = m_flows.find(key);
@@ -296,7 +296,7 @@
     return &at->second;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 void BasicFlowSteering<Choice>::assign(Flow &flow, SteeredTarget &target)
 {
     if (flow.counted && flow.target == target.token) {
@@ -308,7 +308,7 @@
     ++target.flows;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 void BasicFlowSteering<Choice>::release(Flow &flow)
 {
     setBusy(flow, false);
@@ -319,7 +319,7 @@
     flow.counted = false;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 void BasicFlowSteering<Choice>::setBusy(Flow &flow, bool busy)
 {
     SteeredTarget *target = flow.busy != busy ? m_targets.find(flow.target) : nullptr;
@@ -329,7 +329,7 @@
     flow.busy = busy;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 void BasicFlowSteering<Choice>::suspect(TimePoint now, SteeredTarget &target)
 {
     if (!target.suspect(now)) {
@@ -338,23 +338,23 @@
     }
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 std::vector<TargetKey> BasicFlowSteering<Choice>::takeUnanswered()
 {
     return std::exchange(m_unanswered, {});
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 std::vector<FlowReset> BasicFlowSteering<Choice>::takeResets()
 {
     std::vector<FlowReset> resets;
-    if (!m_targets.anyFlowsOver()) {
+    if (!m_targets.anyResetPending()) {
         return resets;
     }
     boost::unordered::erase_if(m_flows, [&](auto &each) {
         auto &[key, flow] = each;
         const SteeredTarget *target = flow.counted ? m_targets.find(flow.target) : nullptr;
-        if (target == nullptr || !target->flowsOver || resets.size() >= MaxResetsPerTick) {
+        if (target == nullptr || !target->resetPending || resets.size() >= MaxResetsPerTick) {
             return false;
         }
         if (flow.open) {
@@ -364,12 +364,12 @@
         return true;
     });
     if (resets.size() < MaxResetsPerTick) {
-        m_targets.clearFlowsOver();
+        m_targets.clearResetPending();
     }
     return resets;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 void BasicFlowSteering<Choice>::tick(TimePoint now)
 {
     if (now < m_sweepDue) {
@@ -395,13 +395,13 @@
 
 // ---- Decisions ----
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 SteeringDecision BasicFlowSteering<Choice>::forward(SteeringReason reason, const SteeredTarget &target)
 {
     return {SteeringAction::Forward, reason, target.record.key, target.record.address, target.token, 0};
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 SteeringDecision BasicFlowSteering<Choice>::reset(SteeringReason reason, const FlowPacket &packet)
 {
     const auto flow = m_flows.find(FlowKey{packet.caller, packet.route});
@@ -412,13 +412,13 @@
     return {SteeringAction::Reset, reason, {}, {}, {}, packet.opening ? 0 : packet.acknowledged};
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 SteeringDecision BasicFlowSteering<Choice>::drop(SteeringReason reason)
 {
     return {SteeringAction::Drop, reason, {}, {}, {}, 0};
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 SteeringDecision BasicFlowSteering<Choice>::hold(SteeringReason reason)
 {
     return {SteeringAction::Hold, reason, {}, {}, {}, 0};
@@ -426,56 +426,56 @@
 
 // ---- Small questions ----
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 SteeringTargets &BasicFlowSteering<Choice>::targets()
 {
     return m_targets;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 const SteeringTargets &BasicFlowSteering<Choice>::targets() const
 {
     return m_targets;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 std::size_t BasicFlowSteering<Choice>::flowCount() const
 {
     return m_flows.size();
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 std::uint64_t BasicFlowSteering<Choice>::count(SteeringReason reason) const
 {
     return m_counts[static_cast<std::size_t>(reason)];
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 std::uint64_t BasicFlowSteering<Choice>::suspicions() const
 {
     return m_suspicions;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 const LatencyHistogram &BasicFlowSteering<Choice>::openTimes() const
 {
     return m_openTimes;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 const LatencyHistogram &BasicFlowSteering<Choice>::answerTimes() const
 {
     return m_answerTimes;
 }
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 std::size_t BasicFlowSteering<Choice>::droppedRoutes() const
 {
     return m_routes.removedRoutes();
 }
 
-template class BasicFlowSteering<HashChoice>;
-template class BasicFlowSteering<LeastUsedChoice>;
-template class BasicFlowSteering<TwoChoices>;
+template class BasicFlowSteering<HashSelection>;
+template class BasicFlowSteering<LeastLoadedSelection>;
+template class BasicFlowSteering<PowerOfTwoSelection>;
 
 } // namespace Robinrail
--- a/src/flow_steering.h
+++ b/src/flow_steering.h
@@ -15,7 +15,7 @@
 namespace Robinrail {
 
 // A target whose end was announced still empties its sockets; only after this are packets of its flows reset.
-inline constexpr Duration LeftGrace = std::chrono::seconds(1);
+inline constexpr Duration LeftTargetGrace = std::chrono::seconds(1);
 
 // A request without a sign of its answer is no longer counted as load after this. The longest time budget of
 // an interactive request is 3 s.
@@ -29,7 +29,7 @@
 
 // Copies of an opening packet are sent 200 ms and more apart. Two that come closer together were held up on
 // their way, and the later one says nothing about the target that got the first.
-inline constexpr Duration MinCopyPause = std::chrono::milliseconds(120);
+inline constexpr Duration MinRetransmitInterval = std::chrono::milliseconds(120);
 
 // How often the table of flows is searched for old ones.
 inline constexpr Duration FlowSweepInterval = std::chrono::seconds(2);
@@ -92,7 +92,7 @@
     bool open = false;
     bool busy = false;
     bool counted = false; // Among the flows of its target.
-    bool opensHere = false; // Its opening packet came here, at sentAt, and no other packet has come since.
+    bool openingSeenHere = false; // Its opening packet came here, at sentAt, and no other packet has come since.
 };
 
 struct FlowKeyHash {
@@ -107,7 +107,7 @@
 
 } // namespace detail
 
-template<SteeringChoice Choice>
+template<TargetSelectionPolicy Choice>
 class BasicFlowSteering
 {
 public:
@@ -160,10 +160,10 @@
     SteeringDecision reset(SteeringReason reason, const FlowPacket &packet);
     SteeringDecision drop(SteeringReason reason);
     SteeringDecision hold(SteeringReason reason);
-    SteeredTarget *choose(const ChoiceContext &context, const Route &route, FlowToken avoid);
-    SteeredTarget *chooseOf(const ChoiceContext &context, std::uint16_t service, FlowToken avoid);
+    SteeredTarget *choose(const SelectionContext &context, const Route &route, FlowToken avoid);
+    SteeredTarget *chooseOf(const SelectionContext &context, std::uint16_t service, FlowToken avoid);
     static std::uint16_t serviceOf(const Route &route, std::uint64_t flowHash);
-    bool takesNewFlows(const SteeredTarget &target) const;
+    bool acceptsNewFlows(const SteeredTarget &target) const;
     void observe(TimePoint now, const FlowPacket &packet, Flow &flow);
     Flow *remember(TimePoint now, const FlowKey &key);
     void assign(Flow &flow, SteeredTarget &target);
@@ -185,9 +185,9 @@
     LatencyHistogram m_answerTimes;
 };
 
-extern template class BasicFlowSteering<HashChoice>;
-extern template class BasicFlowSteering<LeastUsedChoice>;
-extern template class BasicFlowSteering<TwoChoices>;
-using FlowSteering = BasicFlowSteering<TwoChoices>;
+extern template class BasicFlowSteering<HashSelection>;
+extern template class BasicFlowSteering<LeastLoadedSelection>;
+extern template class BasicFlowSteering<PowerOfTwoSelection>;
+using FlowSteering = BasicFlowSteering<PowerOfTwoSelection>;
 
 } // namespace Robinrail
--- a/src/held_packets.h
+++ b/src/held_packets.h
@@ -18,7 +18,7 @@
 // the flow through another balancer.
 inline Duration holdTime(const FlowPacket &packet)
 {
-    return packet.opening ? std::min(timeUntilNextCopy(packet.copy), MaxHoldTime) : MaxHoldTime;
+    return packet.opening ? std::min(retransmissionDelay(packet.copy), MaxHoldTime) : MaxHoldTime;
 }
 
 // Most packets that are held, 0.6 MB; beyond it the oldest goes. A balancer of the largest deployment gets 300
@@ -30,7 +30,7 @@
     Bytes bytes;
 };
 
-class HeldPackets
+class PacketHoldQueue
 {
 public:
     void hold(HeldPacket packet)
--- a/src/packet_port.h
+++ b/src/packet_port.h
@@ -219,7 +219,7 @@
     std::array<iovec, PacketBatch> m_outParts{};
     std::array<sockaddr_in, PacketBatch> m_outAddresses{};
     std::size_t m_outCount = 0;
-    HeldPackets m_held;
+    PacketHoldQueue m_held;
 };
 
 } // namespace Robinrail
--- a/src/standstill_watch.h
+++ b/src/standstill_watch.h
@@ -9,41 +9,41 @@
 namespace Robinrail {
 
 // A pause between two turns of a process that is no standstill: twice the interval of its clock.
-inline constexpr Duration MaxTurnTime = std::chrono::milliseconds(100);
+inline constexpr Duration StallThreshold = std::chrono::milliseconds(100);
 
-class StandstillWatch
+class StallDetector
 {
 public:
-    explicit StandstillWatch(TimePoint now)
+    explicit StallDetector(TimePoint now)
         : m_last(now)
     {
     }
 
-    // The process runs. Call it more often than MaxTurnTime, and before reading what may have waited.
+    // The process runs. Call it more often than StallThreshold, and before reading what may have waited.
     void turn(TimePoint now)
     {
         const Duration pause = now - m_last;
         m_last = now;
-        if (pause >= MaxTurnTime) {
-            m_waited = std::max(m_waited, pause);
+        if (pause >= StallThreshold) {
+            m_maxQueueTime = std::max(m_maxQueueTime, pause);
         }
     }
 
     // All that waited has been read.
     void queueEmptied()
     {
-        m_waited = {};
+        m_maxQueueTime = {};
     }
 
     // How long what is read now may have waited at most; 0 if the process did not stand still.
     Duration waited() const
     {
-        return m_waited;
+        return m_maxQueueTime;
     }
 
 private:
     TimePoint m_last;
-    Duration m_waited{};
+    Duration m_maxQueueTime{};
 };
 
 } // namespace Robinrail
--- a/src/steering_choice.h
+++ b/src/steering_choice.h
@@ -11,7 +11,7 @@
 namespace Robinrail {
 
 // What a choice may look at.
-struct ChoiceContext {
+struct SelectionContext {
     TimePoint now;
     std::uint64_t flowHash = 0; // The same at every balancer.
     DataCentreId dataCentre{}; // Of this balancer.
@@ -19,7 +19,7 @@
 
 // Picks one of the candidates; there is at least one.
 template<typename C>
-concept SteeringChoice = requires(std::span<SteeredTarget *const> candidates, const ChoiceContext &context)
+concept TargetSelectionPolicy = requires(std::span<SteeredTarget *const> candidates, const SelectionContext &context)
 {
     {
         C::pick(candidates, context)
@@ -27,15 +27,15 @@
 };
 
 // Baseline: the flow's hash alone, whatever the load.
-struct HashChoice {
-    static SteeredTarget *pick(std::span<SteeredTarget *const> candidates, const ChoiceContext &context)
+struct HashSelection {
+    static SteeredTarget *pick(std::span<SteeredTarget *const> candidates, const SelectionContext &context)
     {
         return *std::max_element(candidates.begin(), candidates.end(), [&context](const SteeredTarget *one, const SteeredTarget *other) {
             return score(*one, context) < score(*other, context);
         });
     }
 
-    static double score(const SteeredTarget &target, const ChoiceContext &context)
+    static double score(const SteeredTarget &target, const SelectionContext &context)
     {
         return rendezvousScore(context.flowHash, value(target.record.key), 1);
     }
@@ -47,29 +47,29 @@
 // Load, in parts of a target's slots as this balancer sees it, that a target in another data centre must be
 // better by: all slots of the best target here are taken by this balancer's own requests. Bytes between data
 // centres cost, and a flow within one survives its being cut off.
-inline constexpr double OtherDataCentrePenalty = 1;
+inline constexpr double RemoteDataCentrePenalty = 1;
 
 // A target that is warming up takes about this many times as long.
 inline constexpr double WarmupFactor = 1.6;
 
 // The least used target by the balancer's own counts; among equals the flow's hash decides, so that a copy
 // of an opening packet goes to the same target from every balancer that sees the same load.
-struct LeastUsedChoice {
-    static double load(const SteeredTarget &target, const ChoiceContext &context)
+struct LeastLoadedSelection {
+    static double load(const SteeredTarget &target, const SelectionContext &context)
     {
         const double used = target.busy + SlotsPerOpenFlow * target.flows + SlotsPerOpenFlow;
-        const double slow = context.now < target.warmAt ? WarmupFactor : 1;
-        const double away = target.record.dataCentre != context.dataCentre ? OtherDataCentrePenalty : 0;
+        const double slow = context.now < target.warmupEnd ? WarmupFactor : 1;
+        const double away = target.record.dataCentre != context.dataCentre ? RemoteDataCentrePenalty : 0;
         return used * slow / std::max(target.record.slots, 1U) + away;
     }
 
-    static SteeredTarget *pick(std::span<SteeredTarget *const> candidates, const ChoiceContext &context)
+    static SteeredTarget *pick(std::span<SteeredTarget *const> candidates, const SelectionContext &context)
     {
         SteeredTarget *best = candidates.front();
         double bestLoad = load(*best, context);
         for (SteeredTarget *target : candidates.subspan(1)) {
             const double targetLoad = load(*target, context);
-            const bool tied = targetLoad == bestLoad && HashChoice::score(*target, context) > HashChoice::score(*best, context);
+            const bool tied = targetLoad == bestLoad && HashSelection::score(*target, context) > HashSelection::score(*best, context);
             if (targetLoad < bestLoad || tied) {
                 best = target;
                 bestLoad = targetLoad;
@@ -86,8 +86,8 @@
 // started has the lowest counts at all of them. The least used of all gets the next flow of every balancer, 7 to 12 from each
 // of 11 among 89 within half a second, while it is still slow. The hash bounds what a target can draw to twice its share,
 // whatever the counts say, and the counts still tell a busy target from an idle one where a balancer sees much of the load.
-struct TwoChoices {
-    static SteeredTarget *pick(std::span<SteeredTarget *const> candidates, const ChoiceContext &context)
+struct PowerOfTwoSelection {
+    static SteeredTarget *pick(std::span<SteeredTarget *const> candidates, const SelectionContext &context)
     {
         Pair here;
         Pair elsewhere;
@@ -97,7 +97,8 @@
         }
         SteeredTarget *best = nullptr;
         for (SteeredTarget *target : {here.first, here.second, elsewhere.first, elsewhere.second}) {
-            const bool better = target != nullptr && (best == nullptr || LeastUsedChoice::load(*target, context) < LeastUsedChoice::load(*best, context));
+            const bool better = target != nullptr
+                && (best == nullptr || LeastLoadedSelection::load(*target, context) < LeastLoadedSelection::load(*best, context));
             best = better ? target : best;
         }
         return best;
@@ -124,6 +125,6 @@
     };
 };
 
-static_assert(SteeringChoice<HashChoice> && SteeringChoice<LeastUsedChoice> && SteeringChoice<TwoChoices>);
+static_assert(TargetSelectionPolicy<HashSelection> && TargetSelectionPolicy<LeastLoadedSelection> && TargetSelectionPolicy<PowerOfTwoSelection>);
 
 } // namespace Robinrail
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -28,7 +28,7 @@
                }})
     , m_timer(io)
     , m_steering(m_file.dataCentreId(m_file.dataCentre))
-    , m_standstill(monotonicNow())
+    , m_stallDetector(monotonicNow())
     , m_now(monotonicNow())
     , m_choice(m_file.dataCentreId(m_file.dataCentre), m_file.packetListen.address)
     , m_follower(m_steering.targets())
@@ -92,7 +92,7 @@
 void SteeringNode::tick()
 {
     m_now = monotonicNow();
-    m_standstill.turn(m_now);
+    m_stallDetector.turn(m_now);
     chooseReplicas();
     m_links.tick(m_now);
     m_steering.tick(m_now);
@@ -117,20 +117,20 @@
 
 void SteeringNode::beginPackets()
 {
-    m_standstill.turn(monotonicNow());
+    m_stallDetector.turn(monotonicNow());
 }
 
 void SteeringNode::endPackets(bool emptied)
 {
     if (emptied) {
-        m_standstill.queueEmptied();
+        m_stallDetector.queueEmptied();
     }
 }
 
 SteeringDecision SteeringNode::steer(FlowPacket packet)
 {
     const TimePoint now = monotonicNow();
-    packet.waited = m_standstill.waited();
+    packet.waited = m_stallDetector.waited();
     const SteeringDecision decision = m_steering.steer(now, packet);
     if (decision.reason != SteeringReason::OpenFlow) {
         logDecision(now, packet, decision);
@@ -291,7 +291,7 @@
 {
     const TimePoint now = monotonicNow();
     for (const TargetKey key : list.keys) {
-        if (m_findings.unreachable(now, list.finder, key) && m_steering.targets().takeForGone(now, key)) {
+        if (m_findings.unreachable(now, list.finder, key) && m_steering.targets().declareGone(now, key)) {
             LogLine(LogLevel::Info, "target-gone").with("target", value(key)).with("replica", toText(list.finder.replica));
         }
     }
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -99,7 +99,7 @@
     NodeLinks m_links;
     boost::asio::steady_timer m_timer;
     FlowSteering m_steering;
-    StandstillWatch m_standstill;
+    StallDetector m_stallDetector;
     TimePoint m_now;
     std::map<ReplicaId, std::vector<ReplicaPlace>> m_lists; // Replicas that each replica named.
     ReplicaChoice m_choice;
--- a/src/steering_targets.cpp
+++ b/src/steering_targets.cpp
@@ -22,9 +22,9 @@
     const auto [at, added] = m_targets.try_emplace(news.record.key);
     SteeredTarget &target = at->second;
     if (news.silent) {
-        target.vouchers.erase(replica);
+        target.reportedAliveBy.erase(replica);
     } else {
-        target.vouchers.insert(replica);
+        target.reportedAliveBy.insert(replica);
         target.goneUntil = {};
     }
     if (!added && !news.record.supersedes(target.record)) {
@@ -38,11 +38,11 @@
     }
     if (added || news.record.born != target.record.born) {
         // Flows of a former lifetime are reset by the target itself, which does not know them.
-        sawAlive(now, target);
+        markAlive(now, target);
     }
     target.record = news.record;
     target.token = tokenOf(news.record.key);
-    target.warmAt = std::max(target.warmAt, now + news.record.warmupLeft);
+    target.warmupEnd = std::max(target.warmupEnd, now + news.record.warmupLeft);
     add(target);
 }
 
@@ -51,7 +51,7 @@
     // Two lifetimes may share a token: about 3e-6 among 150 targets, about one pair among 89,000. The one
     // that was known first keeps it; the other gets no flows, so that no packet goes astray.
     const auto [at, added] = m_tokens.try_emplace(value(target.token), &target);
-    target.ambiguous = !added && at->second != &target;
+    target.tokenCollision = !added && at->second != &target;
     if (target.record.phase != TargetPhase::Left) {
         m_services[target.record.service].push_back(&target);
     }
@@ -69,21 +69,21 @@
     }
 }
 
-void SteeringTargets::forgetReplica(ReplicaId replica, bool others)
+void SteeringTargets::dropReplicaReports(ReplicaId replica, bool others)
 {
     if (!others) {
         return;
     }
     for (auto &[key, target] : m_targets) {
-        target.vouchers.erase(replica);
+        target.reportedAliveBy.erase(replica);
     }
 }
 
-void SteeringTargets::keepVouched(ReplicaId replica, const std::set<TargetKey> &told)
+void SteeringTargets::withdrawReportsExcept(ReplicaId replica, const std::set<TargetKey> &told)
 {
     for (auto &[key, target] : m_targets) {
         if (!told.contains(key)) {
-            target.vouchers.erase(replica);
+            target.reportedAliveBy.erase(replica);
         }
     }
 }
@@ -95,14 +95,14 @@
 
 bool SteeringTargets::vouched(const SteeredTarget &target) const
 {
-    return m_source ? target.vouchers.contains(*m_source) : !target.vouchers.empty();
+    return m_source ? target.reportedAliveBy.contains(*m_source) : !target.reportedAliveBy.empty();
 }
 
 void SteeringTargets::warmUp(DataCentreId dataCentre, TimePoint until)
 {
     for (auto &[key, target] : m_targets) {
         if (target.record.dataCentre == dataCentre) {
-            target.warmAt = std::max(target.warmAt, until);
+            target.warmupEnd = std::max(target.warmupEnd, until);
         }
     }
 }
@@ -127,42 +127,42 @@
     if (target.suspect(now)) {
         return;
     }
-    target.suspicion = target.suspicion == Duration{0} ? FirstSuspicion : std::min(target.suspicion * 2, MaxSuspicion);
+    target.suspicion = target.suspicion == Duration{0} ? InitialSuspicion : std::min(target.suspicion * 2, MaxSuspicion);
     target.suspectUntil = now + target.suspicion;
 }
 
-void SteeringTargets::sawAlive(TimePoint now, SteeredTarget &target)
+void SteeringTargets::markAlive(TimePoint now, SteeredTarget &target)
 {
     target.alive = now;
-    target.flowsOver = false;
+    target.resetPending = false;
     target.goneUntil = {};
     target.suspicion = {};
     target.suspectUntil = {};
 }
 
-bool SteeringTargets::takeForGone(TimePoint now, TargetKey key)
+bool SteeringTargets::declareGone(TimePoint now, TargetKey key)
 {
     const auto at = m_targets.find(key);
     if (at == m_targets.end() || now - at->second.alive < RecentLife) {
         return false;
     }
-    at->second.flowsOver = true;
-    at->second.goneUntil = now + GoneMemory;
-    m_flowsOver.push_back(key);
+    at->second.resetPending = true;
+    at->second.goneUntil = now + GoneDuration;
+    m_resetPending.push_back(key);
     suspect(now, at->second);
     return true;
 }
 
-bool SteeringTargets::anyFlowsOver() const
+bool SteeringTargets::anyResetPending() const
 {
-    return !m_flowsOver.empty();
+    return !m_resetPending.empty();
 }
 
-void SteeringTargets::clearFlowsOver()
+void SteeringTargets::clearResetPending()
 {
-    for (const TargetKey key : std::exchange(m_flowsOver, {})) {
+    for (const TargetKey key : std::exchange(m_resetPending, {})) {
         if (const auto at = m_targets.find(key); at != m_targets.end()) {
-            at->second.flowsOver = false;
+            at->second.resetPending = false;
         }
     }
 }
--- a/src/steering_targets.h
+++ b/src/steering_targets.h
@@ -17,25 +17,25 @@
 
 // How long a target that did not answer is left out of new choices: at first, and at most after more of the
 // same. A trial costs one caller 200 ms, the pause before it sends its opening packet again.
-inline constexpr Duration FirstSuspicion = std::chrono::seconds(1);
+inline constexpr Duration InitialSuspicion = std::chrono::seconds(1);
 inline constexpr Duration MaxSuspicion = std::chrono::seconds(8);
 
 // How long a target counts as gone after enough replicas tried in vain to connect to it, unless it shows life. Its flows
 // come here from balancers that went down with it, each with its data's next repetition, 0.2 to 1.6 s apart.
-inline constexpr Duration GoneMemory = std::chrono::seconds(2);
+inline constexpr Duration GoneDuration = std::chrono::seconds(2);
 
 struct SteeredTarget {
     TargetRecord record;
     FlowToken token{};
-    std::set<ReplicaId> vouchers; // Replicas that say that it is alive.
-    TimePoint warmAt; // Slow before this.
+    std::set<ReplicaId> reportedAliveBy; // Replicas that say that it is alive.
+    TimePoint warmupEnd; // Slow before this.
     TimePoint suspectUntil;
     Duration suspicion{}; // The last one's length; 0 after a sign of life.
     TimePoint alive; // Last sign of life that passed through here.
     TimePoint leftAt; // When its end was learnt.
     TimePoint goneUntil; // Data of its flows is answered with resets before this.
-    bool flowsOver = false; // Its flows are to be reset now.
-    bool ambiguous = false; // An older target has the same token: it gets no flows.
+    bool resetPending = false; // Its flows are to be reset now.
+    bool tokenCollision = false; // An older target has the same token: it gets no flows.
     std::uint32_t flows = 0; // Open flows that pass through here.
     std::uint32_t busy = 0; // Flows of those with a request under way.
 
@@ -57,10 +57,10 @@
     void take(TimePoint now, ReplicaId replica, const TargetStatus &news);
 
     // A replica can't be heard any more; it vouches for nobody. Without any other replica the view is kept.
-    void forgetReplica(ReplicaId replica, bool others);
+    void dropReplicaReports(ReplicaId replica, bool others);
 
     // All that this replica knows has been told; it vouches for these targets and no others.
-    void keepVouched(ReplicaId replica, const std::set<TargetKey> &told);
+    void withdrawReportsExcept(ReplicaId replica, const std::set<TargetKey> &told);
 
     // From now on only this replica's word on who is alive holds.
     void setSource(ReplicaId replica);
@@ -76,14 +76,14 @@
 
     // Holds a failure to answer against a target, or clears it.
     void suspect(TimePoint now, SteeredTarget &target);
-    void sawAlive(TimePoint now, SteeredTarget &target);
+    void markAlive(TimePoint now, SteeredTarget &target);
 
     // Takes a target for gone, unless it showed life through here of late. Whether it is.
-    bool takeForGone(TimePoint now, TargetKey key);
+    bool declareGone(TimePoint now, TargetKey key);
 
     // Whether there are targets whose flows are to be reset, and that they were.
-    bool anyFlowsOver() const;
-    void clearFlowsOver();
+    bool anyResetPending() const;
+    void clearResetPending();
 
     // The target behind a token; null if it is not known.
     SteeredTarget *find(FlowToken token);
@@ -102,7 +102,7 @@
 
     std::map<TargetKey, SteeredTarget> m_targets;
     std::optional<ReplicaId> m_source;
-    std::vector<TargetKey> m_flowsOver; // Targets that were taken for gone, until their flows are reset.
+    std::vector<TargetKey> m_resetPending; // Targets that were taken for gone, until their flows are reset.
     boost::unordered_flat_map<std::uint32_t, SteeredTarget *> m_tokens;
     std::map<std::string, std::vector<SteeredTarget *>> m_services;
 };
--- a/src/target_prober.cpp
+++ b/src/target_prober.cpp
@@ -33,7 +33,7 @@
 
 void TargetProber::turn(TimePoint now)
 {
-    if (now - std::exchange(m_lastTurn, now) >= MaxTurnTime) {
+    if (now - std::exchange(m_lastTurn, now) >= StallThreshold) {
         ++m_standstills;
     }
 }
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -73,8 +73,8 @@
     'const LogIndex agreed = matches.front();' '*replicas keep every promise*'
 mutate "voter before it caught up" src/raft_members.cpp \
     'return caughtUp && now' 'return (caughtUp || !caughtUp) && now' '*loss of a second one*,*replicas keep every promise*'
-mutate "steering: openings that waited are handed on" src/flow_steering.cpp 'if (packet.waited >= timeUntilNextCopy(packet.copy)) {' \
-    'if (packet.waited >= timeUntilNextCopy(packet.copy) && packet.reset) {' '*waited until its next copy*'
+mutate "steering: openings that waited are handed on" src/flow_steering.cpp 'if (packet.waited >= retransmissionDelay(packet.copy)) {' \
+    'if (packet.waited >= retransmissionDelay(packet.copy) && packet.reset) {' '*waited until its next copy*'
 mutate "steering: a copy right behind tells silence" src/flow_steering.cpp '|| tooSoon) &&' '|| (tooSoon && packet.reset)) &&' '*right behind the first*'
 mutate "steering: what is not known yet is dropped" src/flow_steering.cpp \
     'm_informed ? reset(SteeringReason::NoRoute, packet) : hold(SteeringReason::NotInformed)' \
@@ -98,7 +98,7 @@
 mutate "steering: what was found long ago counts" src/target_probe.h 'return now - each.second.at >= ProbeLifetime;' \
     'return now < each.second.at;' '*enough different replicas*'
 mutate "steering: life during resets does not end them" src/steering_targets.cpp \
-    '    target.flowsOver = false;' '' '*keeps those that are left*'
+    '    target.resetPending = false;' '' '*keeps those that are left*'
 mutate "steering: removed routes are never forgotten" src/flow_steering.cpp 'return now - seen >= RememberLeft;' \
     'return now < seen;' '*forgotten once its flows*'
 mutate "steering: messages of other clusters are taken" src/replica_driver.cpp \
@@ -124,7 +124,7 @@
     'return number + m_forgotten >= number;' '*tell all that was missed*,*stands still while*'
 mutate "directory: numbers of another life go on" src/directory_log.cpp 'life == m_life && after <= m_newest' \
     'life != 0 && after <= m_newest' '*tell all that was missed*,*ends alike*'
-mutate "directory: who is not listed stays" src/directory_follower.cpp 'm_targets.keepVouched(replica, std::exchange(progress.listed, {}));' \
+mutate "directory: who is not listed stays" src/directory_follower.cpp 'm_targets.withdrawReportsExcept(replica, std::exchange(progress.listed, {}));' \
     'progress.listed.clear();' '*from the same life*,*ends alike*'
 mutate "directory: pages go out however slow the link" src/directory_publisher.h '&& links.buffered(id) < MaxBuffered' '' \
     '*leave room on its link*'
@@ -162,11 +162,11 @@
     '*does not vouch for its table before*'
 mutate "drains: a drained data centre gets new flows" src/flow_steering.cpp '&& !m_routes.isDrained(target.record.dataCentre)' '' '*drained data centre gets no new flows*'
 mutate "drains: a taken back data centre is warm" src/flow_steering.cpp 'now + m_routes.longestWarmup()' 'now' '*taken back warm up*'
-mutate "drains: an announcement ends the warm-up" src/steering_targets.cpp 'std::max(target.warmAt, now + news.record.warmupLeft)' \
+mutate "drains: an announcement ends the warm-up" src/steering_targets.cpp 'std::max(target.warmupEnd, now + news.record.warmupLeft)' \
     'now + news.record.warmupLeft' '*taken back warm up*'
 mutate "drains: a late copy finds an open flow a second target" src/flow_steering.cpp 'if (late && first != nullptr && !stays) {' \
     'if (late && first == nullptr && !stays) {' '*does not take an open flow away*'
-mutate "warm-up: a limited cold target is used" src/flow_steering.cpp '&& !(spareCold && context.now < target.warmAt)' '&& (spareCold || !spareCold)' \
+mutate "warm-up: a limited cold target is used" src/flow_steering.cpp '&& !(excludeWarming && context.now < target.warmupEnd)' '&& (excludeWarming || !excludeWarming)' \
     '*whose warm-up is limited*'
 mutate "births: a later lifetime is late news" src/target_record.h 'return born > other.born;' 'return born < other.born;' '*starts again under its key*'
 mutate "births: receipts of any lifetime confirm" src/target_record.h 'auto operator<=>(const TargetLifetime &) const = default;' \
@@ -174,8 +174,8 @@
     '*former lifetime*'
 mutate "gone: flows that are new here go on to a gone target" src/flow_steering.cpp 'if (target->gone(now) && packet.dataBytes > 0) {' \
     'if (target->gone(now) && packet.dataBytes > 5000) {' '*new here is reset*'
-mutate "gone: data that began elsewhere is a sign of life" src/flow_steering.cpp 'if (answered && !unheard) {' 'if (answered || unheard) {' '*its data began elsewhere*'
-mutate "choice: the least used by own counts" src/flow_steering.h 'using FlowSteering = BasicFlowSteering<TwoChoices>;' \
-    'using FlowSteering = BasicFlowSteering<LeastUsedChoice>;' '*draws at most twice*'
+mutate "gone: data that began elsewhere is a sign of life" src/flow_steering.cpp 'if (answered && !openedElsewhere) {' 'if (answered || openedElsewhere) {' '*its data began elsewhere*'
+mutate "choice: the least used by own counts" src/flow_steering.h 'using FlowSteering = BasicFlowSteering<PowerOfTwoSelection>;' \
+    'using FlowSteering = BasicFlowSteering<LeastLoadedSelection>;' '*draws at most twice*'
 echo "mutations that were wrong: $wrong"
 [ "$wrong" -eq 0 ]
--- a/tests/test_steering.cpp
+++ b/tests/test_steering.cpp
@@ -100,7 +100,7 @@
 
 TEST_CASE("a standstill tells how long what waited is old, until the queue is empty")
 {
-    StandstillWatch watch(Start);
+    StallDetector watch(Start);
     watch.turn(Start + milliseconds(50));
     CHECK(watch.waited() == Duration{0});
     watch.turn(Start + milliseconds(350));
@@ -220,7 +220,7 @@
     record.phase = TargetPhase::Left;
     balancer.take(record);
     CHECK(balancer.follow(1, first.token, 3, 3).action == SteeringAction::Forward);
-    balancer.now += LeftGrace;
+    balancer.now += LeftTargetGrace;
     const SteeringDecision over = balancer.follow(1, first.token, 4, 77);
     CHECK(over.action == SteeringAction::Reset);
     CHECK(over.resetSequence == 77);
@@ -237,11 +237,11 @@
     balancer.take(targetOf(101, "quotes"), true);
     CHECK(balancer.open(1).target == TargetKey{102});
     balancer.take(targetOf(101, "quotes"), false, SecondReplica);
-    balancer.steering.targets().forgetReplica(FirstReplica, true);
+    balancer.steering.targets().dropReplicaReports(FirstReplica, true);
     for (std::uint32_t caller = 2; caller < 6; ++caller) {
         CHECK(balancer.open(caller).target == TargetKey{101});
     }
-    balancer.steering.targets().forgetReplica(SecondReplica, false);
+    balancer.steering.targets().dropReplicaReports(SecondReplica, false);
     CHECK(balancer.open(20).action == SteeringAction::Forward);
 }
 
@@ -279,7 +279,7 @@
 
 TEST_CASE("held packets come out in order, the old ones and those beyond the limit do not")
 {
-    HeldPackets held;
+    PacketHoldQueue held;
     const auto packet = [](std::size_t number) {
         return Bytes{static_cast<std::uint8_t>(number), static_cast<std::uint8_t>(number >> 8U)};
     };
@@ -303,7 +303,7 @@
 
 TEST_CASE("a packet that is held again is held no longer than at first")
 {
-    HeldPackets held;
+    PacketHoldQueue held;
     held.hold({Start + milliseconds(100), Bytes{1}});
     for (int i = 0; i < 10; ++i) {
         for (HeldPacket &packet : held.release(Start + milliseconds(10 * i))) {
--- a/tests/test_target_probe.cpp
+++ b/tests/test_target_probe.cpp
@@ -98,7 +98,7 @@
         balancer.acknowledge(caller, caller % 2 == 0 ? Silent : Living, 50);
     }
     balancer.now += seconds(1);
-    REQUIRE(balancer.steering.targets().takeForGone(balancer.now, Silent));
+    REQUIRE(balancer.steering.targets().declareGone(balancer.now, Silent));
     const std::vector<FlowReset> resets = balancer.steering.takeResets();
     CHECK(resets.size() == 10);
     for (const FlowReset &each : resets) {
@@ -116,7 +116,7 @@
         balancer.request(caller, Silent, 100, 1);
     }
     balancer.now += seconds(1);
-    REQUIRE(balancer.steering.targets().takeForGone(balancer.now, Silent));
+    REQUIRE(balancer.steering.targets().declareGone(balancer.now, Silent));
     CHECK(balancer.steering.takeResets().size() == MaxResetsPerTick);
     CHECK(balancer.steering.takeResets().size() == 10);
     CHECK(balancer.steering.takeResets().empty());
@@ -129,7 +129,7 @@
         balancer.request(caller, Silent, 100, 1);
     }
     balancer.now += seconds(1);
-    REQUIRE(balancer.steering.targets().takeForGone(balancer.now, Silent));
+    REQUIRE(balancer.steering.targets().declareGone(balancer.now, Silent));
     CHECK(balancer.steering.takeResets().size() == MaxResetsPerTick);
     balancer.acknowledge(MaxResetsPerTick + 11, Silent, 50);
     CHECK(balancer.steering.takeResets().empty());
@@ -142,11 +142,11 @@
     balancer.now += seconds(1);
     balancer.acknowledge(1, Silent, 50);
     balancer.now += RecentLife - milliseconds(1);
-    CHECK_FALSE(balancer.steering.targets().takeForGone(balancer.now, Silent));
+    CHECK_FALSE(balancer.steering.targets().declareGone(balancer.now, Silent));
     CHECK(balancer.steering.takeResets().empty());
     balancer.now += milliseconds(1);
-    CHECK(balancer.steering.targets().takeForGone(balancer.now, Silent));
-    CHECK_FALSE(balancer.steering.targets().takeForGone(balancer.now, TargetKey{999}));
+    CHECK(balancer.steering.targets().declareGone(balancer.now, Silent));
+    CHECK_FALSE(balancer.steering.targets().declareGone(balancer.now, TargetKey{999}));
 }
 
 TEST_CASE("only repeated data on an open flow is reported, each time that it shows no sign of life since")
@@ -183,14 +183,14 @@
     Balancer balancer;
     balancer.now += RecentLife;
     balancer.request(1, Silent, 100, 1); // Sent and repeated through a balancer that is no more.
-    CHECK(balancer.steering.targets().takeForGone(balancer.now, Silent));
+    CHECK(balancer.steering.targets().declareGone(balancer.now, Silent));
     Balancer other;
     other.now += RecentLife;
     FlowPacket opening = Balancer::packet(1, Silent, 0, 0);
     opening.opening = true;
     const SteeringDecision decision = other.steering.steer(other.now, opening);
     other.request(1, decision.target, 100, 1);
-    CHECK_FALSE(other.steering.targets().takeForGone(other.now, decision.target));
+    CHECK_FALSE(other.steering.targets().declareGone(other.now, decision.target));
 }
 
 // Half a deployment's balancers go down together with their data centre's targets and come back first: all flows of these
@@ -199,7 +199,7 @@
 {
     Balancer balancer;
     balancer.now += seconds(1);
-    REQUIRE(balancer.steering.targets().takeForGone(balancer.now, Silent));
+    REQUIRE(balancer.steering.targets().declareGone(balancer.now, Silent));
     balancer.steering.takeResets();
     balancer.now += milliseconds(300);
     const SteeringDecision late = balancer.request(1, Silent, 100, 1);
@@ -211,12 +211,12 @@
     CHECK(balancer.request(4, Silent, 100, 1).action == SteeringAction::Forward);
     // The verdict does not outlive its evidence.
     balancer.now += seconds(1);
-    REQUIRE(balancer.steering.targets().takeForGone(balancer.now, Silent));
-    balancer.now += GoneMemory;
+    REQUIRE(balancer.steering.targets().declareGone(balancer.now, Silent));
+    balancer.now += GoneDuration;
     CHECK(balancer.request(5, Silent, 100, 1).action == SteeringAction::Forward);
     // Nor does it hold against a replica that heard the target since.
     balancer.now += seconds(1);
-    REQUIRE(balancer.steering.targets().takeForGone(balancer.now, Silent));
+    REQUIRE(balancer.steering.targets().declareGone(balancer.now, Silent));
     TargetRecord heard = feedTarget(Silent);
     heard.sequence = 2;
     balancer.steering.targets().take(balancer.now, FirstReplica, {heard, false, Duration{0}, Duration{0}});
@@ -382,7 +382,7 @@
     ports.report(Living, ports.listening.local_endpoint().port());
     ports.run();
     ports.report(Silent, ports.refusingPort);
-    ports.prober.turn(monotonicNow() + MaxTurnTime);
+    ports.prober.turn(monotonicNow() + StallThreshold);
     ports.run();
     CHECK(ports.prober.takeUnreachable().empty());
 }
@@ -453,7 +453,7 @@
                     const bool errs = replica == 0 && oneReplicaErrs;
                     const bool unreachable = errs || (key == Silent && dead);
                     if (unreachable && findings.unreachable(balancer.now, {ReplicaId{static_cast<std::uint32_t>(replica + 1)}, Here}, key)) {
-                        balancer.steering.targets().takeForGone(balancer.now, key);
+                        balancer.steering.targets().declareGone(balancer.now, key);
                     }
                 }
             }
