--- a/src/packet_port.h
+++ b/src/packet_port.h
@@ -73,10 +73,10 @@
         }
         m_socket.non_blocking(true, error);
         m_replyPort = endpoint.port;
-        m_node.onLearnt([this] {
+        m_node.setRoutingDataHandler([this] {
             releaseHeld();
         });
-        m_node.onResets([this](std::span<const FlowReset> resets) {
+        m_node.setResetHandler([this](std::span<const FlowReset> resets) {
             sendResets(resets);
         });
         wait();
@@ -100,12 +100,12 @@
 
     void handleTurn()
     {
-        m_node.beginPackets();
+        m_node.beginReceive();
         bool emptied = false;
         for (int batch = 0; batch < BatchesPerTurn && !emptied; ++batch) {
             emptied = handleBatch() < PacketBatch;
         }
-        m_node.endPackets(emptied);
+        m_node.endReceive(emptied);
     }
 
     // Handles what has arrived, at most a batch; how many packets that were.
--- a/src/replica_choice.cpp
+++ b/src/replica_choice.cpp
@@ -8,14 +8,14 @@
 
 namespace Robinrail {
 
-ReplicaChoice::ReplicaChoice(DataCentreId dataCentre, std::uint64_t self)
+ReplicaSelector::ReplicaSelector(DataCentreId dataCentre, std::uint64_t self)
     : m_dataCentre(dataCentre)
     , m_self(self)
 {
 }
 
 // Own data centre first; among equals the order is this balancer's own, by rendezvous hashing.
-void ReplicaChoice::know(std::span<const ReplicaPlace> named, std::span<const ReplicaId> seeds)
+void ReplicaSelector::know(std::span<const ReplicaPlace> named, std::span<const ReplicaId> seeds)
 {
     enum class Rank : std::uint8_t {
         Near,
@@ -46,43 +46,43 @@
     });
 }
 
-void ReplicaChoice::answered(TimePoint now, ReplicaId replica)
+void ReplicaSelector::answered(TimePoint now, ReplicaId replica)
 {
     m_answered.try_emplace(replica, now);
 }
 
-void ReplicaChoice::linked(TimePoint now, ReplicaId replica)
+void ReplicaSelector::linked(TimePoint now, ReplicaId replica)
 {
     m_answered.erase(replica);
     m_states[replica].linked = true;
     m_firstLink = m_firstLink.value_or(now);
 }
 
-void ReplicaChoice::lost(TimePoint now, ReplicaId replica)
+void ReplicaSelector::lost(TimePoint now, ReplicaId replica)
 {
     m_states.erase(replica);
     m_answered.erase(replica);
     if (replica == m_source) {
-        m_sourceAwaited = now + SourceGrace;
+        m_sourceGraceEnd = now + SourceGrace;
     }
 }
 
-void ReplicaChoice::confirmed(TimePoint now, ReplicaId replica)
+void ReplicaSelector::confirmed(TimePoint now, ReplicaId replica)
 {
     m_states[replica].confirmedAt = now;
 }
 
-void ReplicaChoice::completed(ReplicaId replica)
+void ReplicaSelector::completed(ReplicaId replica)
 {
     m_states[replica].completed = true;
 }
 
-void ReplicaChoice::turn(TimePoint now)
+void ReplicaSelector::turn(TimePoint now)
 {
-    watchHealth(now);
+    updateHealth(now);
     m_next = best(now);
     if (!m_source) {
-        m_next = patient(now, m_next ? m_next : firstLinked());
+        m_next = patient(now, m_next ? m_next : firstWithLink());
     }
     if (m_next && m_states.at(*m_next).completed) {
         m_source = m_next;
@@ -90,38 +90,38 @@
     if (m_next == m_source) {
         m_next.reset();
     }
-    extendReach(now);
-    setWanted();
+    extendDialRange(now);
+    updateDesiredLinks();
 }
 
-bool ReplicaChoice::healthy(TimePoint now, ReplicaId replica) const
+bool ReplicaSelector::healthy(TimePoint now, ReplicaId replica) const
 {
     const auto at = m_states.find(replica);
-    return at != m_states.end() && at->second.linked && now - at->second.confirmedAt < HealthyFor;
+    return at != m_states.end() && at->second.linked && now - at->second.confirmedAt < HealthTimeout;
 }
 
-void ReplicaChoice::watchHealth(TimePoint now)
+void ReplicaSelector::updateHealth(TimePoint now)
 {
     for (auto &[replica, state] : m_states) {
         const bool was = std::exchange(state.healthy, healthy(now, replica));
         if (!was && state.healthy) {
             const std::uint64_t lot = hashPair(m_self, static_cast<std::uint64_t>(now.time_since_epoch().count()));
-            state.returnAt = now + Duration(static_cast<std::int64_t>(lot % static_cast<std::uint64_t>(MaxReturnDelay.count())));
+            state.failbackAt = now + Duration(static_cast<std::int64_t>(lot % static_cast<std::uint64_t>(MaxFailbackDelay.count())));
         }
     }
 }
 
 // The first healthy one. While the source is healthy, a better one must have been so for a while.
-std::optional<ReplicaId> ReplicaChoice::best(TimePoint now) const
+std::optional<ReplicaId> ReplicaSelector::best(TimePoint now) const
 {
-    const bool atEase = m_source && healthy(now, *m_source);
+    const bool sourceHealthy = m_source && healthy(now, *m_source);
     const auto at = std::find_if(m_order.begin(), m_order.end(), [&](ReplicaId replica) {
-        return healthy(now, replica) && (!atEase || replica == *m_source || now >= m_states.at(replica).returnAt);
+        return healthy(now, replica) && (!sourceHealthy || replica == *m_source || now >= m_states.at(replica).failbackAt);
     });
     return at != m_order.end() ? std::optional(*at) : std::nullopt;
 }
 
-std::optional<ReplicaId> ReplicaChoice::firstLinked() const
+std::optional<ReplicaId> ReplicaSelector::firstWithLink() const
 {
     const auto at = std::find_if(m_order.begin(), m_order.end(), [this](ReplicaId replica) {
         const auto state = m_states.find(replica);
@@ -131,41 +131,41 @@
 }
 
 // Holds another replica than the first choice back until that one has had time to link up.
-std::optional<ReplicaId> ReplicaChoice::patient(TimePoint now, std::optional<ReplicaId> replica) const
+std::optional<ReplicaId> ReplicaSelector::patient(TimePoint now, std::optional<ReplicaId> replica) const
 {
-    const bool early = m_firstLink && now - *m_firstLink < FirstChoicePatience;
+    const bool early = m_firstLink && now - *m_firstLink < FirstChoiceGrace;
     const bool first = replica && *replica == m_order.front();
     return early && !first ? std::nullopt : replica;
 }
 
 // Whether a replica that took a connection is still likely to greet.
-bool ReplicaChoice::greetingDue(TimePoint now) const
+bool ReplicaSelector::handshakePending(TimePoint now) const
 {
     return std::any_of(m_answered.begin(), m_answered.end(), [now](const auto &each) {
-        return now - each.second < HandshakePatience;
+        return now - each.second < HandshakeGrace;
     });
 }
 
 // Dials no further than to a healthy source, and otherwise ever further.
-void ReplicaChoice::extendReach(TimePoint now)
+void ReplicaSelector::extendDialRange(TimePoint now)
 {
     const auto source = m_source ? std::find(m_order.begin(), m_order.end(), *m_source) : m_order.end();
     if (source != m_order.end() && healthy(now, *source)) {
         m_reach = static_cast<std::size_t>(source - m_order.begin()) + 1;
-        m_reachDue = now + CandidatePause;
-    } else if (now >= std::max(m_reachDue, m_sourceAwaited) && !greetingDue(now)) {
-        const bool begun = m_reachDue != TimePoint{};
+        m_dialDue = now + CandidateInterval;
+    } else if (now >= std::max(m_dialDue, m_sourceGraceEnd) && !handshakePending(now)) {
+        const bool begun = m_dialDue != TimePoint{};
         m_reach = std::min(m_reach + (begun ? 1 : 0), m_order.size());
-        m_reachDue = now + CandidatePause;
+        m_dialDue = now + CandidateInterval;
     }
 }
 
-bool ReplicaChoice::known(ReplicaId replica) const
+bool ReplicaSelector::known(ReplicaId replica) const
 {
     return std::find(m_order.begin(), m_order.end(), replica) != m_order.end();
 }
 
-void ReplicaChoice::setWanted()
+void ReplicaSelector::updateDesiredLinks()
 {
     m_wanted = {m_order.begin(), m_order.begin() + static_cast<std::ptrdiff_t>(std::min(m_reach, m_order.size()))};
     if (m_next) {
@@ -185,12 +185,12 @@
     }
 }
 
-const std::set<ReplicaId> &ReplicaChoice::wanted() const
+const std::set<ReplicaId> &ReplicaSelector::wanted() const
 {
     return m_wanted;
 }
 
-std::vector<ReplicaId> ReplicaChoice::followed() const
+std::vector<ReplicaId> ReplicaSelector::followed() const
 {
     std::vector<ReplicaId> followed;
     for (const std::optional<ReplicaId> &replica : {m_source, m_next}) {
@@ -201,7 +201,7 @@
     return followed;
 }
 
-std::optional<ReplicaId> ReplicaChoice::source() const
+std::optional<ReplicaId> ReplicaSelector::source() const
 {
     return m_source;
 }
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -32,7 +32,7 @@
     , m_now(monotonicNow())
     , m_choice(m_file.dataCentreId(m_file.dataCentre), m_file.packetListen.address)
     , m_follower(m_steering.targets())
-    , m_onLearnt([] {})
+    , m_onRoutingData([] {})
     , m_findings(m_file.borneLoss())
     , m_sendResets([](std::span<const FlowReset>) {})
 {
@@ -45,14 +45,14 @@
         .with("data-centre", m_file.dataCentre)
         .with("packets", toText(m_file.packetListen))
         .with("seeds", m_file.seeds.size());
-    knowReplicas();
+    updateReplicas();
     tick();
 }
 
 void SteeringNode::reload(const SteeringFile &file)
 {
     m_file.seeds = file.seeds;
-    knowReplicas();
+    updateReplicas();
     LogLine(LogLevel::Info, "settings-reloaded").with("seeds", m_file.seeds.size());
 }
 
@@ -66,7 +66,7 @@
 
 Duration SteeringNode::stopTime() const
 {
-    return std::min(FabricNoticeTime, m_file.grace / 2);
+    return std::min(FabricDetectionTime, m_file.grace / 2);
 }
 
 bool SteeringNode::ready() const
@@ -80,7 +80,7 @@
     if (!m_informed && m_confirmed && m_choice.source() && m_steering.targets().size() > 0) {
         m_informed = true;
         m_steering.setInformed();
-        m_onLearnt();
+        m_onRoutingData();
     }
     const bool ready = !m_stopping && m_informed;
     if (ready != m_ready) {
@@ -93,14 +93,14 @@
 {
     m_now = monotonicNow();
     m_stallDetector.turn(m_now);
-    chooseReplicas();
+    selectReplicas();
     m_links.tick(m_now);
     m_steering.tick(m_now);
     reportUnanswered();
     resetFlows();
     fetchIfBehind(m_now);
     updateReadiness();
-    m_timer.expires_after(SteeringTick);
+    m_timer.expires_after(SteeringTickInterval);
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             tick();
@@ -110,17 +110,17 @@
 
 // ---- Packets ----
 
-void SteeringNode::onLearnt(std::function<void()> learnt)
+void SteeringNode::setRoutingDataHandler(std::function<void()> learnt)
 {
-    m_onLearnt = std::move(learnt);
+    m_onRoutingData = std::move(learnt);
 }
 
-void SteeringNode::beginPackets()
+void SteeringNode::beginReceive()
 {
     m_stallDetector.turn(monotonicNow());
 }
 
-void SteeringNode::endPackets(bool emptied)
+void SteeringNode::endReceive(bool emptied)
 {
     if (emptied) {
         m_stallDetector.queueEmptied();
@@ -167,21 +167,21 @@
 // ---- Replicas ----
 
 // The seeds, and whatever replicas those name.
-void SteeringNode::knowReplicas()
+void SteeringNode::updateReplicas()
 {
     std::vector<ReplicaId> seeds;
     for (const Endpoint &seed : m_file.seeds) {
         seeds.push_back(ReplicaId{seed.address});
     }
     std::vector<ReplicaPlace> named;
-    for (const auto &[replica, list] : m_lists) {
+    for (const auto &[replica, list] : m_replicaLists) {
         named.insert(named.end(), list.begin(), list.end());
     }
     m_choice.know(named, seeds);
-    chooseReplicas();
+    selectReplicas();
 }
 
-void SteeringNode::chooseReplicas()
+void SteeringNode::selectReplicas()
 {
     const std::optional<ReplicaId> source = m_choice.source();
     const std::set<ReplicaId> before = m_choice.wanted();
@@ -207,7 +207,7 @@
 {
     for (const ReplicaId replica : m_choice.followed()) {
         const LinkHandle link = m_links.linkTo(replica);
-        if (link != 0 && std::exchange(m_following[replica], link) != link) {
+        if (link != 0 && std::exchange(m_directoryLinks[replica], link) != link) {
             // Behind a whole directory a table would wait for 70 ms on a link of 2 Mbit/s, and both are needed to steer.
             if (m_steering.version() == 0) {
                 m_links.send(link, RoutingRequest{});
@@ -226,13 +226,13 @@
 void SteeringNode::onClosed(LinkHandle link, const NodeHello &peer)
 {
     LogLine(LogLevel::Warning, "replica-link-lost").with("replica", toText(peer.replica)).with("ready", m_ready);
-    m_offers.erase(link);
+    m_offeredVersions.erase(link);
     m_choice.lost(monotonicNow(), peer.replica);
     m_follower.lost(peer.replica);
-    m_following.erase(peer.replica);
+    m_directoryLinks.erase(peer.replica);
     const bool others = !m_links.dialled().empty();
-    if (others && m_lists.erase(peer.replica) > 0) {
-        knowReplicas();
+    if (others && m_replicaLists.erase(peer.replica) > 0) {
+        updateReplicas();
     }
 }
 
@@ -243,14 +243,14 @@
     } else if (const auto *gone = std::get_if<TargetsUnreachable>(&message)) {
         onUnreachable(*gone);
     } else if (const auto *list = std::get_if<ReplicaList>(&message)) {
-        m_lists[peer.replica] = list->replicas;
-        knowReplicas();
+        m_replicaLists[peer.replica] = list->replicas;
+        updateReplicas();
     } else if (const auto *offer = std::get_if<RoutingOffer>(&message)) {
         if (offer->confirmed) {
             m_choice.confirmed(monotonicNow(), peer.replica);
         }
         onOffer(link, *offer);
-        chooseReplicas();
+        selectReplicas();
     } else if (const auto *update = std::get_if<RoutingUpdate>(&message)) {
         onUpdate(*update);
     }
@@ -264,7 +264,7 @@
         break;
     case PageVerdict::Completed:
         m_choice.completed(replica);
-        chooseReplicas();
+        selectReplicas();
         break;
     case PageVerdict::Gap:
         LogLine(LogLevel::Warning, "directory-gap").with("replica", toText(replica)).with("after", page.after);
@@ -276,13 +276,13 @@
     }
     // With part of a directory, all openings would go to the few targets of its first pages.
     if (!m_informed && page.last) {
-        m_onLearnt();
+        m_onRoutingData();
     }
 }
 
 // ---- Targets that are gone ----
 
-void SteeringNode::onResets(std::function<void(std::span<const FlowReset>)> send)
+void SteeringNode::setResetHandler(std::function<void(std::span<const FlowReset>)> send)
 {
     m_sendResets = std::move(send);
 }
@@ -332,7 +332,7 @@
 
 void SteeringNode::onOffer(LinkHandle link, const RoutingOffer &offer)
 {
-    m_offers[link] = offer.progress.version;
+    m_offeredVersions[link] = offer.progress.version;
     if (offer.confirmed) {
         m_confirmedVersion = std::max(m_confirmedVersion, offer.progress.version);
     }
@@ -358,7 +358,7 @@
     }
     LinkHandle best = 0;
     std::uint64_t highest = m_steering.version();
-    for (const auto &[link, version] : m_offers) {
+    for (const auto &[link, version] : m_offeredVersions) {
         // Of equals take another replica than the one that was asked last, in case that one is stuck.
         const bool preferred = version == highest && best == m_fetchedFrom && best != 0;
         if (version > highest || preferred) {
@@ -380,12 +380,12 @@
     const TimePoint now = monotonicNow();
     if (m_fetching) {
         m_fetching = false;
-        m_fetchDue = now + RoutingFetchPause;
+        m_fetchDue = now + MinRoutingFetchInterval;
     }
     if (m_steering.apply(update.table)) {
         LogLine(LogLevel::Info, "routing-applied").with("version", update.table.version).with("routes", update.table.routes.size());
         if (!m_informed) {
-            m_onLearnt();
+            m_onRoutingData();
         }
     }
 }
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -21,17 +21,17 @@
 namespace Robinrail {
 
 // The balancer's clock runs in steps of this. It finds dead links and old flows; packets don't wait for it.
-inline constexpr std::chrono::milliseconds SteeringTick{50};
+inline constexpr std::chrono::milliseconds SteeringTickInterval{50};
 
 // At most one routing table is asked for in this time, as documents come in floods and reading a table of hundreds of
 // routes takes a small VM tens of milliseconds.
-inline constexpr Duration RoutingFetchPause = std::chrono::milliseconds(250);
+inline constexpr Duration MinRoutingFetchInterval = std::chrono::milliseconds(250);
 
 // A table that was asked for and did not come is asked for again, at another replica.
 inline constexpr Duration RoutingFetchTimeout = std::chrono::milliseconds(600);
 
 // The fabric asks for readiness twice a second and leaves a balancer out after two refusals; twice that.
-inline constexpr Duration FabricNoticeTime = std::chrono::milliseconds(2500);
+inline constexpr Duration FabricDetectionTime = std::chrono::milliseconds(2500);
 
 class SteeringNode
 {
@@ -55,14 +55,14 @@
     // What runs each time that this node learnt routes or targets, until it is informed, so that held packets can be
     // steered. After a loss of all power the targets are known as soon as one replica is up, and whether its table is
     // the newest one only after an election: 130 to 300 ms later on the smallest deployment.
-    void onLearnt(std::function<void()> learnt);
+    void setRoutingDataHandler(std::function<void()> learnt);
 
     // What sends resets of flows whose targets are gone.
-    void onResets(std::function<void(std::span<const FlowReset>)> send);
+    void setResetHandler(std::function<void(std::span<const FlowReset>)> send);
 
     // A turn of the packet port begins; ends. `emptied`: all packets that had arrived were read.
-    void beginPackets();
-    void endPackets(bool emptied);
+    void beginReceive();
+    void endReceive(bool emptied);
 
     // Decides on a packet and logs what a later question may be about.
     SteeringDecision steer(FlowPacket packet);
@@ -89,8 +89,8 @@
     void drain(const RoutingOffer &offer);
     void onUpdate(const RoutingUpdate &update);
     void fetchIfBehind(TimePoint now);
-    void knowReplicas();
-    void chooseReplicas();
+    void updateReplicas();
+    void selectReplicas();
     void followDirectories();
     void logDecision(TimePoint now, const FlowPacket &packet, const SteeringDecision &decision);
     void updateReadiness();
@@ -101,11 +101,11 @@
     FlowSteering m_steering;
     StallDetector m_stallDetector;
     TimePoint m_now;
-    std::map<ReplicaId, std::vector<ReplicaPlace>> m_lists; // Replicas that each replica named.
-    ReplicaChoice m_choice;
+    std::map<ReplicaId, std::vector<ReplicaPlace>> m_replicaLists; // Replicas that each replica named.
+    ReplicaSelector m_choice;
     DirectoryFollower m_follower;
-    std::map<ReplicaId, LinkHandle> m_following; // The links on which replicas were asked for their directories.
-    std::map<LinkHandle, std::uint64_t> m_offers; // Newest version that a link's replica has.
+    std::map<ReplicaId, LinkHandle> m_directoryLinks; // The links on which replicas were asked for their directories.
+    std::map<LinkHandle, std::uint64_t> m_offeredVersions; // Newest version that a link's replica has.
     TimePoint m_fetchDue;
     LinkHandle m_fetchedFrom = 0;
     bool m_fetching = false;
@@ -113,7 +113,7 @@
     std::uint64_t m_drainRevision = 0; // Of the drained data centres in force here.
     bool m_confirmed = false; // The table was the newest one once.
     bool m_informed = false;
-    std::function<void()> m_onLearnt;
+    std::function<void()> m_onRoutingData;
     ProbeFindings m_findings;
     std::function<void(std::span<const FlowReset>)> m_sendResets;
     std::uint64_t m_flowsReset = 0;
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -145,9 +145,9 @@
     'std::max(found->second.heard, now - target.age)' '*silent target is found elsewhere*'
 mutate "probers: those of one data centre first" src/prober_choice.h 'taken[place.dataCentre]++' '0 * taken[place.dataCentre]++' \
     '*same few for all*'
-mutate "replica choice: a replica without a quorum is followed on" src/replica_choice.cpp 'now - at->second.confirmedAt < HealthyFor' \
+mutate "replica choice: a replica without a quorum is followed on" src/replica_choice.cpp 'now - at->second.confirmedAt < HealthTimeout' \
     'at->second.confirmedAt <= now' '*lost its quorum*'
-mutate "replica choice: all return at once" src/replica_choice.cpp 'now >= m_states.at(replica).returnAt' 'now >= TimePoint{}' '*one after the other*'
+mutate "replica choice: all return at once" src/replica_choice.cpp 'now >= m_states.at(replica).failbackAt' 'now >= TimePoint{}' '*one after the other*'
 mutate "replica choice: the new view holds before it is whole" src/replica_choice.cpp 'if (m_next && m_states.at(*m_next).completed) {' \
     'if (m_next) {' '*until another has told all*'
 mutate "version watch: a lagging replica vouches" src/version_watch.h 'caughtUp && own.reaches(m_highest)' 'caughtUp && (own.reaches(m_highest) || caughtUp)' '*lags behind another*'
--- a/tests/test_replica_choice.cpp
+++ b/tests/test_replica_choice.cpp
@@ -62,7 +62,7 @@
         choice.lost(now, replica);
     }
 
-    ReplicaChoice choice;
+    ReplicaSelector choice;
     TimePoint now = Start;
     std::set<ReplicaId> healthy;
 };
@@ -105,7 +105,7 @@
     CHECK(chooser.choice.wanted().size() == 3);
     // Up, and without a quorum yet.
     chooser.choice.linked(chooser.now, Farther);
-    chooser.run(FirstChoicePatience + milliseconds(50));
+    chooser.run(FirstChoiceGrace + milliseconds(50));
     CHECK(chooser.choice.followed() == std::vector<ReplicaId>{Farther});
     chooser.choice.completed(Farther);
     chooser.run(milliseconds(50));
@@ -122,7 +122,7 @@
     const ReplicaId first = *chooser.choice.wanted().begin();
     // Each attempt is answered, as the machine runs and the process is busy or stands still.
     const TimePoint answered = chooser.now;
-    while (chooser.now - answered < HandshakePatience) {
+    while (chooser.now - answered < HandshakeGrace) {
         chooser.choice.answered(chooser.now, first);
         chooser.run(milliseconds(50));
     }
@@ -142,7 +142,7 @@
     REQUIRE(chooser.choice.source() == Near);
     // Cut off from the other replicas, it still speaks to this balancer.
     chooser.healthy.erase(Near);
-    chooser.run(HealthyFor + milliseconds(200));
+    chooser.run(HealthTimeout + milliseconds(200));
     CHECK(chooser.choice.wanted().size() >= 2);
     chooser.linkUp(Far);
     chooser.run(milliseconds(100));
@@ -152,7 +152,7 @@
     chooser.run(milliseconds(100));
     CHECK(chooser.choice.source() == Far);
     // The whole takes less than the shortest time in which a drain must be in force, 3 s, with a list of 1 s.
-    CHECK(chooser.now - Start < milliseconds(1000) + HealthyFor);
+    CHECK(chooser.now - Start < milliseconds(1000) + HealthTimeout);
     CHECK(chooser.choice.wanted().contains(Near));
     CHECK(chooser.choice.wanted().contains(Far));
 }
@@ -197,7 +197,7 @@
         chooser.choice.completed(Near);
         while (chooser.choice.source() != Near) {
             chooser.run(milliseconds(50));
-            REQUIRE(chooser.now - back <= MaxReturnDelay + milliseconds(100));
+            REQUIRE(chooser.now - back <= MaxFailbackDelay + milliseconds(100));
         }
         ++perSecond[std::chrono::duration_cast<seconds>(chooser.now - back).count()];
     }
