--- a/src/replica_choice.cpp
+++ b/src/replica_choice.cpp
@@ -10,7 +10,7 @@
 
 ReplicaSelector::ReplicaSelector(DataCentreId dataCentre, std::uint64_t self)
     : m_dataCentre(dataCentre)
-    , m_self(self)
+    , m_balancerId(self)
 {
 }
 
@@ -31,13 +31,13 @@
         const auto [at, added] = ranks.try_emplace(place.replica, rank);
         at->second = std::min(at->second, rank);
     }
-    m_order.clear();
+    m_preference.clear();
     for (const auto &[replica, rank] : ranks) {
-        m_order.push_back(replica);
+        m_preference.push_back(replica);
     }
-    std::sort(m_order.begin(), m_order.end(), [&](ReplicaId left, ReplicaId right) {
+    std::sort(m_preference.begin(), m_preference.end(), [&](ReplicaId left, ReplicaId right) {
         const auto key = [&](ReplicaId replica) {
-            return std::pair(ranks.at(replica), hashPair(m_self, value(replica)));
+            return std::pair(ranks.at(replica), hashPair(m_balancerId, value(replica)));
         };
         return key(left) < key(right);
     });
@@ -48,20 +48,20 @@
 
 void ReplicaSelector::answered(TimePoint now, ReplicaId replica)
 {
-    m_answered.try_emplace(replica, now);
+    m_acceptedAt.try_emplace(replica, now);
 }
 
 void ReplicaSelector::linked(TimePoint now, ReplicaId replica)
 {
-    m_answered.erase(replica);
+    m_acceptedAt.erase(replica);
     m_states[replica].linked = true;
-    m_firstLink = m_firstLink.value_or(now);
+    m_firstLinkAt = m_firstLinkAt.value_or(now);
 }
 
 void ReplicaSelector::lost(TimePoint now, ReplicaId replica)
 {
     m_states.erase(replica);
-    m_answered.erase(replica);
+    m_acceptedAt.erase(replica);
     if (replica == m_source) {
         m_sourceGraceEnd = now + SourceGrace;
     }
@@ -82,7 +82,7 @@
     updateHealth(now);
     m_next = best(now);
     if (!m_source) {
-        m_next = patient(now, m_next ? m_next : firstWithLink());
+        m_next = afterFirstChoiceGrace(now, m_next ? m_next : firstWithLink());
     }
     if (m_next && m_states.at(*m_next).completed) {
         m_source = m_next;
@@ -105,7 +105,7 @@
     for (auto &[replica, state] : m_states) {
         const bool was = std::exchange(state.healthy, healthy(now, replica));
         if (!was && state.healthy) {
-            const std::uint64_t lot = hashPair(m_self, static_cast<std::uint64_t>(now.time_since_epoch().count()));
+            const std::uint64_t lot = hashPair(m_balancerId, static_cast<std::uint64_t>(now.time_since_epoch().count()));
             state.failbackAt = now + Duration(static_cast<std::int64_t>(lot % static_cast<std::uint64_t>(MaxFailbackDelay.count())));
         }
     }
@@ -115,33 +115,33 @@
 std::optional<ReplicaId> ReplicaSelector::best(TimePoint now) const
 {
     const bool sourceHealthy = m_source && healthy(now, *m_source);
-    const auto at = std::find_if(m_order.begin(), m_order.end(), [&](ReplicaId replica) {
+    const auto at = std::find_if(m_preference.begin(), m_preference.end(), [&](ReplicaId replica) {
         return healthy(now, replica) && (!sourceHealthy || replica == *m_source || now >= m_states.at(replica).failbackAt);
     });
-    return at != m_order.end() ? std::optional(*at) : std::nullopt;
+    return at != m_preference.end() ? std::optional(*at) : std::nullopt;
 }
 
 std::optional<ReplicaId> ReplicaSelector::firstWithLink() const
 {
-    const auto at = std::find_if(m_order.begin(), m_order.end(), [this](ReplicaId replica) {
+    const auto at = std::find_if(m_preference.begin(), m_preference.end(), [this](ReplicaId replica) {
         const auto state = m_states.find(replica);
         return state != m_states.end() && state->second.linked;
     });
-    return at != m_order.end() ? std::optional(*at) : std::nullopt;
+    return at != m_preference.end() ? std::optional(*at) : std::nullopt;
 }
 
 // Holds another replica than the first choice back until that one has had time to link up.
-std::optional<ReplicaId> ReplicaSelector::patient(TimePoint now, std::optional<ReplicaId> replica) const
+std::optional<ReplicaId> ReplicaSelector::afterFirstChoiceGrace(TimePoint now, std::optional<ReplicaId> replica) const
 {
-    const bool early = m_firstLink && now - *m_firstLink < FirstChoiceGrace;
-    const bool first = replica && *replica == m_order.front();
+    const bool early = m_firstLinkAt && now - *m_firstLinkAt < FirstChoiceGrace;
+    const bool first = replica && *replica == m_preference.front();
     return early && !first ? std::nullopt : replica;
 }
 
 // Whether a replica that took a connection is still likely to greet.
 bool ReplicaSelector::handshakePending(TimePoint now) const
 {
-    return std::any_of(m_answered.begin(), m_answered.end(), [now](const auto &each) {
+    return std::any_of(m_acceptedAt.begin(), m_acceptedAt.end(), [now](const auto &each) {
         return now - each.second < HandshakeGrace;
     });
 }
@@ -149,30 +149,30 @@
 // Dials no further than to a healthy source, and otherwise ever further.
 void ReplicaSelector::extendDialRange(TimePoint now)
 {
-    const auto source = m_source ? std::find(m_order.begin(), m_order.end(), *m_source) : m_order.end();
-    if (source != m_order.end() && healthy(now, *source)) {
-        m_reach = static_cast<std::size_t>(source - m_order.begin()) + 1;
+    const auto source = m_source ? std::find(m_preference.begin(), m_preference.end(), *m_source) : m_preference.end();
+    if (source != m_preference.end() && healthy(now, *source)) {
+        m_dialCount = static_cast<std::size_t>(source - m_preference.begin()) + 1;
         m_dialDue = now + CandidateInterval;
     } else if (now >= std::max(m_dialDue, m_sourceGraceEnd) && !handshakePending(now)) {
         const bool begun = m_dialDue != TimePoint{};
-        m_reach = std::min(m_reach + (begun ? 1 : 0), m_order.size());
+        m_dialCount = std::min(m_dialCount + (begun ? 1 : 0), m_preference.size());
         m_dialDue = now + CandidateInterval;
     }
 }
 
 bool ReplicaSelector::known(ReplicaId replica) const
 {
-    return std::find(m_order.begin(), m_order.end(), replica) != m_order.end();
+    return std::find(m_preference.begin(), m_preference.end(), replica) != m_preference.end();
 }
 
 void ReplicaSelector::updateDesiredLinks()
 {
-    m_wanted = {m_order.begin(), m_order.begin() + static_cast<std::ptrdiff_t>(std::min(m_reach, m_order.size()))};
+    m_desiredLinks = {m_preference.begin(), m_preference.begin() + static_cast<std::ptrdiff_t>(std::min(m_dialCount, m_preference.size()))};
     if (m_next) {
-        m_wanted.insert(*m_next);
+        m_desiredLinks.insert(*m_next);
     }
     if (m_source && known(*m_source)) {
-        m_wanted.insert(*m_source);
+        m_desiredLinks.insert(*m_source);
     }
     if (m_source) {
         return;
@@ -180,14 +180,14 @@
     // Links that are up are not given up as long as nothing better is.
     for (const auto &[replica, state] : m_states) {
         if (state.linked && known(replica)) {
-            m_wanted.insert(replica);
+            m_desiredLinks.insert(replica);
         }
     }
 }
 
 const std::set<ReplicaId> &ReplicaSelector::wanted() const
 {
-    return m_wanted;
+    return m_desiredLinks;
 }
 
 std::vector<ReplicaId> ReplicaSelector::followed() const
--- a/src/replica_choice.h
+++ b/src/replica_choice.h
@@ -85,24 +85,24 @@
     void updateHealth(TimePoint now);
     std::optional<ReplicaId> best(TimePoint now) const;
     std::optional<ReplicaId> firstWithLink() const;
-    std::optional<ReplicaId> patient(TimePoint now, std::optional<ReplicaId> replica) const;
+    std::optional<ReplicaId> afterFirstChoiceGrace(TimePoint now, std::optional<ReplicaId> replica) const;
     bool handshakePending(TimePoint now) const;
     void extendDialRange(TimePoint now);
     bool known(ReplicaId replica) const;
     void updateDesiredLinks();
 
     DataCentreId m_dataCentre;
-    std::uint64_t m_self;
-    std::vector<ReplicaId> m_order; // Best first.
+    std::uint64_t m_balancerId;
+    std::vector<ReplicaId> m_preference; // Best first.
     std::map<ReplicaId, State> m_states;
-    std::map<ReplicaId, TimePoint> m_answered; // Replicas that took a connection, when first; not linked since.
+    std::map<ReplicaId, TimePoint> m_acceptedAt; // Replicas that took a connection, when first; not linked since.
     std::optional<ReplicaId> m_source;
     TimePoint m_sourceGraceEnd{}; // The source's link was lost, and it may be back before this.
     std::optional<ReplicaId> m_next; // To be the source.
-    std::size_t m_reach = 1; // So many of m_order are dialled.
+    std::size_t m_dialCount = 1; // So many of m_preference are dialled.
     TimePoint m_dialDue{};
-    std::optional<TimePoint> m_firstLink; // When the first link came up.
-    std::set<ReplicaId> m_wanted;
+    std::optional<TimePoint> m_firstLinkAt; // When the first link came up.
+    std::set<ReplicaId> m_desiredLinks;
 };
 
 } // namespace Robinrail
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -15,7 +15,7 @@
     , m_links(io,
               {NodeRole::Balancer, ReplicaId{0}, m_file.dataCentreId(m_file.dataCentre)},
               {[this](ReplicaId replica) {
-                   m_choice.answered(monotonicNow(), replica);
+                   m_replicaSelector.answered(monotonicNow(), replica);
                },
                [this](LinkHandle link, const NodeHello &peer) {
                    onEstablished(link, peer);
@@ -30,10 +30,10 @@
     , m_steering(m_file.dataCentreId(m_file.dataCentre))
     , m_stallDetector(monotonicNow())
     , m_now(monotonicNow())
-    , m_choice(m_file.dataCentreId(m_file.dataCentre), m_file.packetListen.address)
+    , m_replicaSelector(m_file.dataCentreId(m_file.dataCentre), m_file.packetListen.address)
     , m_follower(m_steering.targets())
     , m_onRoutingData([] {})
-    , m_findings(m_file.borneLoss())
+    , m_probeFindings(m_file.borneLoss())
     , m_sendResets([](std::span<const FlowReset>) {})
 {
 }
@@ -77,7 +77,7 @@
 void SteeringNode::updateReadiness()
 {
     m_confirmed = m_confirmed || (m_confirmedVersion > 0 && m_confirmedVersion <= m_steering.version());
-    if (!m_informed && m_confirmed && m_choice.source() && m_steering.targets().size() > 0) {
+    if (!m_informed && m_confirmed && m_replicaSelector.source() && m_steering.targets().size() > 0) {
         m_informed = true;
         m_steering.setInformed();
         m_onRoutingData();
@@ -177,20 +177,20 @@
     for (const auto &[replica, list] : m_replicaLists) {
         named.insert(named.end(), list.begin(), list.end());
     }
-    m_choice.know(named, seeds);
+    m_replicaSelector.know(named, seeds);
     selectReplicas();
 }
 
 void SteeringNode::selectReplicas()
 {
-    const std::optional<ReplicaId> source = m_choice.source();
-    const std::set<ReplicaId> before = m_choice.wanted();
-    m_choice.turn(monotonicNow());
-    if (m_choice.source() && m_choice.source() != source) {
-        m_steering.targets().setSource(*m_choice.source());
-        LogLine(LogLevel::Info, "replica-followed").with("replica", toText(*m_choice.source()));
+    const std::optional<ReplicaId> source = m_replicaSelector.source();
+    const std::set<ReplicaId> before = m_replicaSelector.wanted();
+    m_replicaSelector.turn(monotonicNow());
+    if (m_replicaSelector.source() && m_replicaSelector.source() != source) {
+        m_steering.targets().setSource(*m_replicaSelector.source());
+        LogLine(LogLevel::Info, "replica-followed").with("replica", toText(*m_replicaSelector.source()));
     }
-    const std::set<ReplicaId> &wanted = m_choice.wanted();
+    const std::set<ReplicaId> &wanted = m_replicaSelector.wanted();
     if (wanted != before) {
         m_links.maintain(wanted, m_file.linkPort);
     }
@@ -205,7 +205,7 @@
 // Asks for directories on links on which that was not done yet.
 void SteeringNode::followDirectories()
 {
-    for (const ReplicaId replica : m_choice.followed()) {
+    for (const ReplicaId replica : m_replicaSelector.followed()) {
         const LinkHandle link = m_links.linkTo(replica);
         if (link != 0 && std::exchange(m_directoryLinks[replica], link) != link) {
             // Behind a whole directory a table would wait for 70 ms on a link of 2 Mbit/s, and both are needed to steer.
@@ -219,7 +219,7 @@
 
 void SteeringNode::onEstablished(LinkHandle /*link*/, const NodeHello &peer)
 {
-    m_choice.linked(monotonicNow(), peer.replica);
+    m_replicaSelector.linked(monotonicNow(), peer.replica);
     LogLine(LogLevel::Info, "replica-link-up").with("replica", toText(peer.replica));
 }
 
@@ -227,7 +227,7 @@
 {
     LogLine(LogLevel::Warning, "replica-link-lost").with("replica", toText(peer.replica)).with("ready", m_ready);
     m_offeredVersions.erase(link);
-    m_choice.lost(monotonicNow(), peer.replica);
+    m_replicaSelector.lost(monotonicNow(), peer.replica);
     m_follower.lost(peer.replica);
     m_directoryLinks.erase(peer.replica);
     const bool others = !m_links.dialled().empty();
@@ -247,7 +247,7 @@
         updateReplicas();
     } else if (const auto *offer = std::get_if<RoutingOffer>(&message)) {
         if (offer->confirmed) {
-            m_choice.confirmed(monotonicNow(), peer.replica);
+            m_replicaSelector.confirmed(monotonicNow(), peer.replica);
         }
         onOffer(link, *offer);
         selectReplicas();
@@ -263,7 +263,7 @@
     case PageVerdict::Taken:
         break;
     case PageVerdict::Completed:
-        m_choice.completed(replica);
+        m_replicaSelector.completed(replica);
         selectReplicas();
         break;
     case PageVerdict::Gap:
@@ -291,7 +291,7 @@
 {
     const TimePoint now = monotonicNow();
     for (const TargetKey key : list.keys) {
-        if (m_findings.unreachable(now, list.finder, key) && m_steering.targets().declareGone(now, key)) {
+        if (m_probeFindings.unreachable(now, list.finder, key) && m_steering.targets().declareGone(now, key)) {
             LogLine(LogLevel::Info, "target-gone").with("target", value(key)).with("replica", toText(list.finder.replica));
         }
     }
@@ -301,8 +301,8 @@
 void SteeringNode::reportUnanswered()
 {
     const TargetsUnanswered unanswered{m_steering.takeUnanswered()};
-    if (!unanswered.keys.empty() && m_choice.source()) {
-        m_links.send(m_links.linkTo(*m_choice.source()), unanswered);
+    if (!unanswered.keys.empty() && m_replicaSelector.source()) {
+        m_links.send(m_links.linkTo(*m_replicaSelector.source()), unanswered);
     }
 }
 
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -102,7 +102,7 @@
     StallDetector m_stallDetector;
     TimePoint m_now;
     std::map<ReplicaId, std::vector<ReplicaPlace>> m_replicaLists; // Replicas that each replica named.
-    ReplicaSelector m_choice;
+    ReplicaSelector m_replicaSelector;
     DirectoryFollower m_follower;
     std::map<ReplicaId, LinkHandle> m_directoryLinks; // The links on which replicas were asked for their directories.
     std::map<LinkHandle, std::uint64_t> m_offeredVersions; // Newest version that a link's replica has.
@@ -114,7 +114,7 @@
     bool m_confirmed = false; // The table was the newest one once.
     bool m_informed = false;
     std::function<void()> m_onRoutingData;
-    ProbeFindings m_findings;
+    ProbeFindings m_probeFindings;
     std::function<void(std::span<const FlowReset>)> m_sendResets;
     std::uint64_t m_flowsReset = 0;
     LogBudget m_resetLog;
