--- a/src/flow_steering.cpp
+++ b/src/flow_steering.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // Whether one sequence number lies behind another on their circle.
-bool behind(std::uint32_t one, std::uint32_t other)
+bool precedes(std::uint32_t one, std::uint32_t other)
 {
     return static_cast<std::int32_t>(one - other) < 0;
 }
@@ -63,7 +63,7 @@
 void BasicFlowSteering<Choice>::setDrained(TimePoint now, std::span<const DataCentreId> drained)
 {
     for (const DataCentreId dataCentre : m_routes.setDrained(drained)) {
-        m_targets.warmUp(dataCentre, now + m_routes.longestWarmup());
+        m_targets.startWarmup(dataCentre, now + m_routes.longestWarmup());
     }
 }
 
@@ -96,7 +96,7 @@
         return m_informed ? reset(SteeringReason::NoRoute, packet) : hold(SteeringReason::NotInformed);
     }
     const FlowKey key{packet.caller, packet.route};
-    Flow *flow = remember(now, key);
+    Flow *flow = findOrAdd(now, key);
     SteeringReason reason = SteeringReason::NewFlow;
     FlowToken avoid{};
     // A late copy on an open flow must not find it a second target; a first copy is a new flow on an old port.
@@ -141,7 +141,7 @@
     }
     FlowToken token = packet.token;
     SteeringReason reason = SteeringReason::OpenFlow;
-    Flow *flow = remember(now, {packet.caller, packet.route});
+    Flow *flow = findOrAdd(now, {packet.caller, packet.route});
     if (flow != nullptr && flow->open && flow->target != token && m_targets.find(flow->target) != nullptr) {
         // Two targets answered copies of the opening packet. The flow is open at the one that the first
         // packet named; the token changed when the other one's answer came late.
@@ -170,7 +170,7 @@
 void BasicFlowSteering<Choice>::observe(TimePoint now, const FlowPacket &packet, Flow &flow)
 {
     SteeredTarget &target = *m_targets.find(flow.target);
-    const bool answered = !flow.open || behind(flow.acknowledged, packet.acknowledged);
+    const bool answered = !flow.open || precedes(flow.acknowledged, packet.acknowledged);
     // Data of a flow that opened through another balancer may have been sent and repeated there for long.
     const bool openedElsewhere = !flow.open && !flow.openingSeenHere && packet.dataBytes > 0;
     if (std::exchange(flow.openingSeenHere, false)) {
@@ -188,7 +188,7 @@
         m_targets.markAlive(now, target);
     }
     if (packet.dataBytes > 0) {
-        const bool repeated = flow.busy && !behind(flow.sequence, packet.sequence);
+        const bool repeated = flow.busy && !precedes(flow.sequence, packet.sequence);
         if (!repeated) {
             flow.sequence = packet.sequence;
             flow.sentAt = CoarseTime(now);
@@ -234,7 +234,7 @@
         if (target.token == avoid) {
             return Impairment::Avoided;
         }
-        if (!m_targets.vouched(target)) {
+        if (!m_targets.reportedAlive(target)) {
             return Impairment::Silent;
         }
         return target.suspect(context.now) ? Impairment::Suspect : Impairment::None;
@@ -283,7 +283,7 @@
 // ---- Flows ----
 
 template<TargetSelectionPolicy Choice>
-detail::SteeredFlow *BasicFlowSteering<Choice>::remember(TimePoint now, const FlowKey &key)
+detail::SteeredFlow *BasicFlowSteering<Choice>::findOrAdd(TimePoint now, const FlowKey &key)
 {
     auto at = m_flows.find(key);
     if (at == m_flows.end()) {
--- a/src/flow_steering.h
+++ b/src/flow_steering.h
@@ -165,7 +165,7 @@
     static std::uint16_t serviceOf(const Route &route, std::uint64_t flowHash);
     bool acceptsNewFlows(const SteeredTarget &target) const;
     void observe(TimePoint now, const FlowPacket &packet, Flow &flow);
-    Flow *remember(TimePoint now, const FlowKey &key);
+    Flow *findOrAdd(TimePoint now, const FlowKey &key);
     void assign(Flow &flow, SteeredTarget &target);
     void release(Flow &flow);
     void setBusy(Flow &flow, bool busy);
--- a/src/steering_targets.cpp
+++ b/src/steering_targets.cpp
@@ -93,12 +93,12 @@
     m_source = replica;
 }
 
-bool SteeringTargets::vouched(const SteeredTarget &target) const
+bool SteeringTargets::reportedAlive(const SteeredTarget &target) const
 {
     return m_source ? target.reportedAliveBy.contains(*m_source) : !target.reportedAliveBy.empty();
 }
 
-void SteeringTargets::warmUp(DataCentreId dataCentre, TimePoint until)
+void SteeringTargets::startWarmup(DataCentreId dataCentre, TimePoint until)
 {
     for (auto &[key, target] : m_targets) {
         if (target.record.dataCentre == dataCentre) {
@@ -112,7 +112,7 @@
     for (auto at = m_targets.begin(); at != m_targets.end();) {
         SteeredTarget &target = at->second;
         const bool left = target.record.phase == TargetPhase::Left;
-        const bool over = left ? now - target.leftAt >= RememberLeft : !vouched(target) && now - target.alive >= ForgetSilent;
+        const bool over = left ? now - target.leftAt >= RememberLeft : !reportedAlive(target) && now - target.alive >= ForgetSilent;
         if (over && target.flows == 0) {
             remove(target);
             at = m_targets.erase(at);
--- a/src/steering_targets.h
+++ b/src/steering_targets.h
@@ -66,10 +66,10 @@
     void setSource(ReplicaId replica);
 
     // Whether a target is said to be alive: by the source, or by any replica as long as there is none.
-    bool vouched(const SteeredTarget &target) const;
+    bool reportedAlive(const SteeredTarget &target) const;
 
     // All targets of a data centre are slow until this moment, whatever they announced.
-    void warmUp(DataCentreId dataCentre, TimePoint until);
+    void startWarmup(DataCentreId dataCentre, TimePoint until);
 
     // Leaves out targets that left or were silent for longer than flows live.
     void tick(TimePoint now);
--- a/tests/test_directory.cpp
+++ b/tests/test_directory.cpp
@@ -113,10 +113,10 @@
         return targets.find(SteeringTargets::tokenOf(TargetKey{key}));
     }
 
-    bool vouched(std::uint64_t key)
+    bool reportedAlive(std::uint64_t key)
     {
         const SteeredTarget *target = find(key);
-        return target != nullptr && targets.vouched(*target);
+        return target != nullptr && targets.reportedAlive(*target);
     }
 
     SteeringTargets targets;
@@ -132,7 +132,7 @@
         CHECK(target->record.phase == status.record.phase);
         CHECK(target->record.service == status.record.service);
         CHECK(target->record.address == status.record.address);
-        CHECK(balancer.targets.vouched(*target) == !status.silent);
+        CHECK(balancer.targets.reportedAlive(*target) == !status.silent);
     }
 }
 
@@ -225,7 +225,7 @@
     links.queues[OnlyFollower].clear();
     replica.publisher.publish(late, true, links);
     CHECK(balancer.drain(late, links) == PageVerdict::Completed);
-    CHECK_FALSE(balancer.vouched(2));
+    CHECK_FALSE(balancer.reportedAlive(2));
 }
 
 TEST_CASE("pages are encoded once for all who start at the same moment")
@@ -272,8 +272,8 @@
     CHECK_FALSE(restarted.publisher.follow(8, balancer.follower.request(Near)));
     restarted.publisher.publish(Start + seconds(2), true, links);
     CHECK(balancer.drain(Start + seconds(2), links, 8) == PageVerdict::Completed);
-    CHECK(balancer.vouched(8));
-    CHECK_FALSE(balancer.vouched(9));
+    CHECK(balancer.reportedAlive(8));
+    CHECK_FALSE(balancer.reportedAlive(9));
     // What it does not know it does not undo, either.
     CHECK(balancer.find(7)->record.phase == TargetPhase::Draining);
 }
@@ -342,9 +342,9 @@
     stale.publisher.publish(Start + seconds(9), true, links);
     balancer.drain(Start + seconds(9), links, 6, Far);
     CHECK(balancer.find(3)->record.phase == TargetPhase::Draining);
-    CHECK(balancer.vouched(4));
+    CHECK(balancer.reportedAlive(4));
     balancer.targets.setSource(Far);
-    CHECK_FALSE(balancer.vouched(4));
+    CHECK_FALSE(balancer.reportedAlive(4));
     balancer.follower.forget(Near);
     CHECK(balancer.follower.request(Near).life == 0);
 }
@@ -418,7 +418,7 @@
                 const std::uint64_t key = 1 + place + Places * lifetime;
                 const bool known = replica->directory.status(now, TargetKey{key}).has_value();
                 const SteeredTarget *target = balancer.find(key);
-                const bool gone = target == nullptr || target->record.phase == TargetPhase::Left || !balancer.vouched(key);
+                const bool gone = target == nullptr || target->record.phase == TargetPhase::Left || !balancer.reportedAlive(key);
                 CHECK((known || gone));
             }
         }
