--- a/src/replica_choice.cpp
+++ b/src/replica_choice.cpp
@@ -80,15 +80,15 @@
 void ReplicaSelector::turn(TimePoint now)
 {
     updateHealth(now);
-    m_next = best(now);
+    m_nextSource = best(now);
     if (!m_source) {
-        m_next = afterFirstChoiceGrace(now, m_next ? m_next : firstWithLink());
+        m_nextSource = afterFirstChoiceGrace(now, m_nextSource ? m_nextSource : firstWithLink());
     }
-    if (m_next && m_states.at(*m_next).completed) {
-        m_source = m_next;
+    if (m_nextSource && m_states.at(*m_nextSource).completed) {
+        m_source = m_nextSource;
     }
-    if (m_next == m_source) {
-        m_next.reset();
+    if (m_nextSource == m_source) {
+        m_nextSource.reset();
     }
     extendDialRange(now);
     updateDesiredLinks();
@@ -168,8 +168,8 @@
 void ReplicaSelector::updateDesiredLinks()
 {
     m_desiredLinks = {m_preference.begin(), m_preference.begin() + static_cast<std::ptrdiff_t>(std::min(m_dialCount, m_preference.size()))};
-    if (m_next) {
-        m_desiredLinks.insert(*m_next);
+    if (m_nextSource) {
+        m_desiredLinks.insert(*m_nextSource);
     }
     if (m_source && known(*m_source)) {
         m_desiredLinks.insert(*m_source);
@@ -193,7 +193,7 @@
 std::vector<ReplicaId> ReplicaSelector::followed() const
 {
     std::vector<ReplicaId> followed;
-    for (const std::optional<ReplicaId> &replica : {m_source, m_next}) {
+    for (const std::optional<ReplicaId> &replica : {m_source, m_nextSource}) {
         if (replica) {
             followed.push_back(*replica);
         }
--- a/src/replica_choice.h
+++ b/src/replica_choice.h
@@ -98,7 +98,7 @@
     std::map<ReplicaId, TimePoint> m_acceptedAt; // Replicas that took a connection, when first; not linked since.
     std::optional<ReplicaId> m_source;
     TimePoint m_sourceGraceEnd{}; // The source's link was lost, and it may be back before this.
-    std::optional<ReplicaId> m_next; // To be the source.
+    std::optional<ReplicaId> m_nextSource; // To be the source.
     std::size_t m_dialCount = 1; // So many of m_preference are dialled.
     TimePoint m_dialDue{};
     std::optional<TimePoint> m_firstLinkAt; // When the first link came up.
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -148,8 +148,8 @@
 mutate "replica choice: a replica without a quorum is followed on" src/replica_choice.cpp 'now - at->second.confirmedAt < HealthTimeout' \
     'at->second.confirmedAt <= now' '*lost its quorum*'
 mutate "replica choice: all return at once" src/replica_choice.cpp 'now >= m_states.at(replica).failbackAt' 'now >= TimePoint{}' '*one after the other*'
-mutate "replica choice: the new view holds before it is whole" src/replica_choice.cpp 'if (m_next && m_states.at(*m_next).completed) {' \
-    'if (m_next) {' '*until another has told all*'
+mutate "replica choice: the new view holds before it is whole" src/replica_choice.cpp 'if (m_nextSource && m_states.at(*m_nextSource).completed) {' \
+    'if (m_nextSource) {' '*until another has told all*'
 mutate "version watch: a lagging replica vouches" src/version_watch.h 'caughtUp && own.reaches(m_highest)' 'caughtUp && (own.reaches(m_highest) || caughtUp)' '*lags behind another*'
 mutate "no compare-and-set on versions" src/control_state.cpp 'if (propose.baseVersion != latestVersion()) {' \
     'if (propose.baseVersion > latestVersion()) {' '*equal numbers*'
