--- a/src/flow_steering.cpp
+++ b/src/flow_steering.cpp
@@ -192,7 +192,7 @@
         if (!repeated) {
             flow.sequence = packet.sequence;
             flow.sentAt = CoarseTime(now);
-        } else if (target.alive + flow.sentAt.elapsed(now) <= now) {
+        } else if (target.lastAlive + flow.sentAt.elapsed(now) <= now) {
             // Data is sent again, and nothing came from the target since it was sent first.
             suspect(now, target);
             if (m_unanswered.size() < MaxReportsPerTick) {
--- a/src/steering_targets.cpp
+++ b/src/steering_targets.cpp
@@ -112,7 +112,7 @@
     for (auto at = m_targets.begin(); at != m_targets.end();) {
         SteeredTarget &target = at->second;
         const bool left = target.record.phase == TargetPhase::Left;
-        const bool over = left ? now - target.leftAt >= RememberLeft : !reportedAlive(target) && now - target.alive >= ForgetSilent;
+        const bool over = left ? now - target.leftAt >= RememberLeft : !reportedAlive(target) && now - target.lastAlive >= ForgetSilent;
         if (over && target.flows == 0) {
             remove(target);
             at = m_targets.erase(at);
@@ -133,7 +133,7 @@
 
 void SteeringTargets::markAlive(TimePoint now, SteeredTarget &target)
 {
-    target.alive = now;
+    target.lastAlive = now;
     target.resetPending = false;
     target.goneUntil = {};
     target.suspicion = {};
@@ -143,7 +143,7 @@
 bool SteeringTargets::declareGone(TimePoint now, TargetKey key)
 {
     const auto at = m_targets.find(key);
-    if (at == m_targets.end() || now - at->second.alive < RecentLife) {
+    if (at == m_targets.end() || now - at->second.lastAlive < RecentLife) {
         return false;
     }
     at->second.resetPending = true;
--- a/src/steering_targets.h
+++ b/src/steering_targets.h
@@ -31,7 +31,7 @@
     TimePoint warmupEnd; // Slow before this.
     TimePoint suspectUntil;
     Duration suspicion{}; // The last one's length; 0 after a sign of life.
-    TimePoint alive; // Last sign of life that passed through here.
+    TimePoint lastAlive; // Last sign of life that passed through here.
     TimePoint leftAt; // When its end was learnt.
     TimePoint goneUntil; // Data of its flows is answered with resets before this.
     bool resetPending = false; // Its flows are to be reset now.
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -89,7 +89,7 @@
 mutate "steering: one replica's word makes a target gone" src/target_probe.h 'return finders.size() >= m_needed;' \
     'return finders.size() + m_needed > 0;' '*enough different replicas*,*troubles no flow*'
 mutate "steering: signs of life do not speak against a target's end" src/steering_targets.cpp \
-    '|| now - at->second.alive < RecentLife' '' '*showed life through*'
+    '|| now - at->second.lastAlive < RecentLife' '' '*showed life through*'
 mutate "steering: a probe during a standstill counts" src/target_prober.cpp '&& standstills == m_standstills' \
     '&& standstills <= m_standstills' '*stood still during a probe*'
 mutate "steering: probes count where no target takes any" src/target_prober.cpp '&& m_anyAnswered &&' '&&' '*no target ever answered*'
