--- a/src/flow_packet.h
+++ b/src/flow_packet.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Flow packet: what a steering balancer sees of one packet from a caller.
+// Flow packet: the header fields that a steering balancer reads from one packet of a caller.
 #pragma once
 
 #include "types.h"
@@ -8,35 +8,34 @@
 
 namespace Robinrail {
 
-// A number in each packet that the balancer writes and both ends echo; it names the flow's target. 0: none.
+// Identifies the flow's target in each packet: written by the balancer, echoed by caller and target. 0: none.
 enum class FlowToken : std::uint32_t {};
 
 struct FlowPacket {
     Endpoint caller;
-    Endpoint route; // The address that the caller asked for.
+    Endpoint route; // Destination address of the packet.
     FlowToken token{};
     std::uint32_t sequence = 0;
-    std::uint32_t acknowledged = 0; // Meaningless in an opening packet.
+    std::uint32_t acknowledged = 0; // Undefined in an opening packet.
     std::uint16_t dataBytes = 0;
-    std::uint8_t copy = 0; // Of an opening packet: how often it was sent before.
+    std::uint8_t copy = 0; // Opening packets only: 0 for the first transmission, then counts retransmissions.
     bool opening = false;
     bool closing = false;
     bool reset = false;
-    Duration waited{}; // At most, while this balancer stood still.
+    Duration maxQueueTime{}; // Upper bound of its time in the receive queue during a stall of this balancer.
 };
 
-// How long a caller waits after a copy of its opening packet until it sends the next one, as far as a balancer may
-// count on it: 200, 400 and 800 ms, less what a packet may take on its way. Whoever hands on a copy later than that
-// may open the flow a second time.
+// Least time between the arrival of one copy of an opening packet and that of the next: the caller retransmits after 200,
+// 400 and 800 ms, less the jitter of the network. A copy that is forwarded later than this may open the flow a second time.
 inline Duration retransmissionDelay(std::uint8_t copy)
 {
-    constexpr Duration FirstPause = std::chrono::milliseconds(200);
-    constexpr Duration Slack = std::chrono::milliseconds(30);
+    constexpr Duration FirstInterval = std::chrono::milliseconds(200);
+    constexpr Duration NetworkJitter = std::chrono::milliseconds(30);
     constexpr unsigned LastCopy = 2;
-    return FirstPause * (1U << std::min<unsigned>(copy, LastCopy)) - Slack;
+    return FirstInterval * (1U << std::min<unsigned>(copy, LastCopy)) - NetworkJitter;
 }
 
-// A flow as any balancer recognizes it.
+// Identifies a flow; the same at every balancer.
 struct FlowKey {
     Endpoint caller;
     Endpoint route;
--- a/src/flow_steering.cpp
+++ b/src/flow_steering.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Whether one sequence number lies behind another on their circle.
+// Whether a sequence number comes before another in serial number arithmetic (RFC 1982).
 bool precedes(std::uint32_t one, std::uint32_t other)
 {
     return static_cast<std::int32_t>(one - other) < 0;
@@ -39,56 +39,56 @@
     return ReasonNames[static_cast<std::size_t>(reason)];
 }
 
-template<TargetSelectionPolicy Choice>
-BasicFlowSteering<Choice>::BasicFlowSteering(DataCentreId dataCentre)
+template<TargetSelectionPolicy Policy>
+BasicFlowSteering<Policy>::BasicFlowSteering(DataCentreId dataCentre)
     : m_dataCentre(dataCentre)
 {
 }
 
 // ---- Routes ----
 
-template<TargetSelectionPolicy Choice>
-bool BasicFlowSteering<Choice>::apply(const RoutingTable &table)
+template<TargetSelectionPolicy Policy>
+bool BasicFlowSteering<Policy>::apply(const RoutingTable &table)
 {
     return m_routes.apply(table);
 }
 
-template<TargetSelectionPolicy Choice>
-std::uint64_t BasicFlowSteering<Choice>::version() const
+template<TargetSelectionPolicy Policy>
+std::uint64_t BasicFlowSteering<Policy>::version() const
 {
     return m_routes.table().version;
 }
 
-template<TargetSelectionPolicy Choice>
-void BasicFlowSteering<Choice>::setDrained(TimePoint now, std::span<const DataCentreId> drained)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::setDrained(TimePoint now, std::span<const DataCentreId> drained)
 {
     for (const DataCentreId dataCentre : m_routes.setDrained(drained)) {
         m_targets.startWarmup(dataCentre, now + m_routes.longestWarmup());
     }
 }
 
-template<TargetSelectionPolicy Choice>
-void BasicFlowSteering<Choice>::setInformed()
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::setInformed()
 {
     m_informed = true;
 }
 
 // ---- Packets ----
 
-template<TargetSelectionPolicy Choice>
-SteeringDecision BasicFlowSteering<Choice>::steer(TimePoint now, const FlowPacket &packet)
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::steer(TimePoint now, const FlowPacket &packet)
 {
-    const SteeringDecision decision = packet.opening ? open(now, packet) : follow(now, packet);
+    const SteeringDecision decision = packet.opening ? steerOpening(now, packet) : steerEstablished(now, packet);
     ++m_counts[static_cast<std::size_t>(decision.reason)];
     return decision;
 }
 
-// An opening packet. The same copy goes to the same target. A later copy says that the target stayed silent
-// for 200 ms or more, or that a packet was lost; either way another target is the better bet.
-template<TargetSelectionPolicy Choice>
-SteeringDecision BasicFlowSteering<Choice>::open(TimePoint now, const FlowPacket &packet)
+// Steers an opening packet. A duplicate goes to the same target. A retransmission means that the target has not answered for
+// 200 ms or more, or that a packet was lost; in both cases another target is more likely to answer.
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::steerOpening(TimePoint now, const FlowPacket &packet)
 {
-    if (packet.waited >= retransmissionDelay(packet.copy)) {
+    if (packet.maxQueueTime >= retransmissionDelay(packet.copy)) {
         return drop(SteeringReason::LateOpening);
     }
     const Route *route = m_routes.find(packet.route);
@@ -99,7 +99,7 @@
     Flow *flow = findOrAdd(now, key);
     SteeringReason reason = SteeringReason::NewFlow;
     FlowToken avoid{};
-    // A late copy on an open flow must not find it a second target; a first copy is a new flow on an old port.
+    // A retransmission for an open flow must not open it at a second target. A first copy is a new flow that reuses the port.
     const bool late = flow != nullptr && flow->open && packet.copy > 0;
     if (late || (flow != nullptr && !flow->open && value(flow->target) != 0)) {
         SteeredTarget *first = m_targets.find(flow->target);
@@ -132,9 +132,9 @@
     return forward(reason, *target);
 }
 
-// A packet of a flow that its target has answered: the token says which target that is.
-template<TargetSelectionPolicy Choice>
-SteeringDecision BasicFlowSteering<Choice>::follow(TimePoint now, const FlowPacket &packet)
+// Steers a packet of a flow that its target has answered; the token names the target.
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::steerEstablished(TimePoint now, const FlowPacket &packet)
 {
     if (m_routes.wasRemoved(packet.route)) {
         return packet.reset ? drop(SteeringReason::RouteDropped) : reset(SteeringReason::RouteDropped, packet);
@@ -143,8 +143,8 @@
     SteeringReason reason = SteeringReason::OpenFlow;
     Flow *flow = findOrAdd(now, {packet.caller, packet.route});
     if (flow != nullptr && flow->open && flow->target != token && m_targets.find(flow->target) != nullptr) {
-        // Two targets answered copies of the opening packet. The flow is open at the one that the first
-        // packet named; the token changed when the other one's answer came late.
+        // Two targets answered copies of the opening packet. The flow is open at the one that its first further packet
+        // named; the caller changed the token when the other answer arrived late.
         token = flow->target;
         reason = SteeringReason::PinnedFlow;
     }
@@ -165,13 +165,14 @@
     return forward(reason, *target);
 }
 
-// What a packet tells about load and about the target's health.
-template<TargetSelectionPolicy Choice>
-void BasicFlowSteering<Choice>::observe(TimePoint now, const FlowPacket &packet, Flow &flow)
+// Updates the load counts and the target's health from a packet.
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::observe(TimePoint now, const FlowPacket &packet, Flow &flow)
 {
     SteeredTarget &target = *m_targets.find(flow.target);
     const bool answered = !flow.open || precedes(flow.acknowledged, packet.acknowledged);
-    // Data of a flow that opened through another balancer may have been sent and repeated there for long.
+    // Data of a flow that was opened through another balancer may have been retransmitted there before, so that it says
+    // nothing about the target's health now.
     const bool openedElsewhere = !flow.open && !flow.openingSeenHere && packet.dataBytes > 0;
     if (std::exchange(flow.openingSeenHere, false)) {
         m_openTimes.record(flow.sentAt.elapsed(now));
@@ -188,12 +189,12 @@
         m_targets.markAlive(now, target);
     }
     if (packet.dataBytes > 0) {
-        const bool repeated = flow.busy && !precedes(flow.sequence, packet.sequence);
-        if (!repeated) {
+        const bool retransmitted = flow.busy && !precedes(flow.sequence, packet.sequence);
+        if (!retransmitted) {
             flow.sequence = packet.sequence;
             flow.sentAt = CoarseTime(now);
         } else if (target.lastAlive + flow.sentAt.elapsed(now) <= now) {
-            // Data is sent again, and nothing came from the target since it was sent first.
+            // The data is retransmitted, and no sign of life came from the target since its first transmission.
             suspect(now, target);
             if (m_unanswered.size() < MaxReportsPerTick) {
                 m_unanswered.push_back(target.record.key);
@@ -206,23 +207,24 @@
     }
 }
 
-// ---- Choice ----
+// ---- Target selection ----
 
-template<TargetSelectionPolicy Choice>
-SteeredTarget *BasicFlowSteering<Choice>::choose(const SelectionContext &context, const Route &route, FlowToken avoid)
+template<TargetSelectionPolicy Policy>
+SteeredTarget *BasicFlowSteering<Policy>::choose(const SelectionContext &context, const Route &route, FlowToken avoid)
 {
-    SteeredTarget *target = chooseOf(context, serviceOf(route, context.flowHash), avoid);
+    SteeredTarget *target = chooseFromService(context, serviceOf(route, context.flowHash), avoid);
     for (std::size_t i = 0; target == nullptr && i < route.services.size(); ++i) {
         if (route.services[i].weight > 0) {
-            target = chooseOf(context, route.services[i].service, avoid);
+            target = chooseFromService(context, route.services[i].service, avoid);
         }
     }
     return target;
 }
 
-// The best of the targets without a blemish; if there are none, of those that are only suspect or silent.
-template<TargetSelectionPolicy Choice>
-SteeredTarget *BasicFlowSteering<Choice>::chooseOf(const SelectionContext &context, std::uint16_t service, FlowToken avoid)
+// Selects among the unimpaired targets; if there are none, among suspect ones as well, then silent ones, then the avoided
+// one.
+template<TargetSelectionPolicy Policy>
+SteeredTarget *BasicFlowSteering<Policy>::chooseFromService(const SelectionContext &context, std::uint16_t service, FlowToken avoid)
 {
     enum class Impairment : std::uint8_t {
         None,
@@ -240,31 +242,31 @@
         return target.suspect(context.now) ? Impairment::Suspect : Impairment::None;
     };
     const bool excludeWarming = m_routes.table().warmupOf(service).limited;
-    const auto takes = [&](const SteeredTarget &target) {
+    const auto eligible = [&](const SteeredTarget &target) {
         return acceptsNewFlows(target) && !(excludeWarming && context.now < target.warmupEnd);
     };
     const std::span<SteeredTarget *const> targets = m_targets.ofService(m_routes.table().services[service]);
     for (const Impairment worst : {Impairment::None, Impairment::Suspect, Impairment::Silent, Impairment::Avoided}) {
         m_candidates.clear();
         std::copy_if(targets.begin(), targets.end(), std::back_inserter(m_candidates), [&](const SteeredTarget *target) {
-            return takes(*target) && impairmentOf(*target) <= worst;
+            return eligible(*target) && impairmentOf(*target) <= worst;
         });
         if (!m_candidates.empty()) {
-            return Choice::pick(m_candidates, context);
+            return Policy::pick(m_candidates, context);
         }
     }
     return nullptr;
 }
 
-template<TargetSelectionPolicy Choice>
-bool BasicFlowSteering<Choice>::acceptsNewFlows(const SteeredTarget &target) const
+template<TargetSelectionPolicy Policy>
+bool BasicFlowSteering<Policy>::acceptsNewFlows(const SteeredTarget &target) const
 {
     return target.record.phase == TargetPhase::Serving && !target.tokenCollision && !m_routes.isDrained(target.record.dataCentre);
 }
 
-// The flow's hash divides flows by weight, so that all copies of an opening packet get the same service.
-template<TargetSelectionPolicy Choice>
-std::uint16_t BasicFlowSteering<Choice>::serviceOf(const Route &route, std::uint64_t flowHash)
+// Distributes flows by weight using the flow's hash, so that all copies of an opening packet get the same service.
+template<TargetSelectionPolicy Policy>
+std::uint16_t BasicFlowSteering<Policy>::serviceOf(const Route &route, std::uint64_t flowHash)
 {
     std::uint64_t total = 0;
     for (const WeightedService &service : route.services) {
@@ -282,8 +284,8 @@
 
 // ---- Flows ----
 
-template<TargetSelectionPolicy Choice>
-detail::SteeredFlow *BasicFlowSteering<Choice>::findOrAdd(TimePoint now, const FlowKey &key)
+template<TargetSelectionPolicy Policy>
+detail::SteeredFlow *BasicFlowSteering<Policy>::findOrAdd(TimePoint now, const FlowKey &key)
 {
     auto at = m_flows.find(key);
     if (at == m_flows.end()) {
@@ -292,12 +294,12 @@
         }
         at = m_flows.emplace(key, Flow{}).first;
     }
-    at->second.seen = CoarseTime(now);
+    at->second.lastSeen = CoarseTime(now);
     return &at->second;
 }
 
-template<TargetSelectionPolicy Choice>
-void BasicFlowSteering<Choice>::assign(Flow &flow, SteeredTarget &target)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::assign(Flow &flow, SteeredTarget &target)
 {
     if (flow.counted && flow.target == target.token) {
         return;
@@ -308,8 +310,8 @@
     ++target.flows;
 }
 
-template<TargetSelectionPolicy Choice>
-void BasicFlowSteering<Choice>::release(Flow &flow)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::release(Flow &flow)
 {
     setBusy(flow, false);
     SteeredTarget *target = flow.counted ? m_targets.find(flow.target) : nullptr;
@@ -319,8 +321,8 @@
     flow.counted = false;
 }
 
-template<TargetSelectionPolicy Choice>
-void BasicFlowSteering<Choice>::setBusy(Flow &flow, bool busy)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::setBusy(Flow &flow, bool busy)
 {
     SteeredTarget *target = flow.busy != busy ? m_targets.find(flow.target) : nullptr;
     if (target != nullptr) {
@@ -329,8 +331,8 @@
     flow.busy = busy;
 }
 
-template<TargetSelectionPolicy Choice>
-void BasicFlowSteering<Choice>::suspect(TimePoint now, SteeredTarget &target)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::suspect(TimePoint now, SteeredTarget &target)
 {
     if (!target.suspect(now)) {
         ++m_suspicions;
@@ -338,14 +340,14 @@
     }
 }
 
-template<TargetSelectionPolicy Choice>
-std::vector<TargetKey> BasicFlowSteering<Choice>::takeUnanswered()
+template<TargetSelectionPolicy Policy>
+std::vector<TargetKey> BasicFlowSteering<Policy>::takeUnanswered()
 {
     return std::exchange(m_unanswered, {});
 }
 
-template<TargetSelectionPolicy Choice>
-std::vector<FlowReset> BasicFlowSteering<Choice>::takeResets()
+template<TargetSelectionPolicy Policy>
+std::vector<FlowReset> BasicFlowSteering<Policy>::takeResets()
 {
     std::vector<FlowReset> resets;
     if (!m_targets.anyResetPending()) {
@@ -369,8 +371,8 @@
     return resets;
 }
 
-template<TargetSelectionPolicy Choice>
-void BasicFlowSteering<Choice>::tick(TimePoint now)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::tick(TimePoint now)
 {
     if (now < m_sweepDue) {
         return;
@@ -383,7 +385,7 @@
         if (flow.busy && flow.sentAt.elapsed(now) >= MaxBusyTime) {
             setBusy(flow, false);
         }
-        if (flow.seen.elapsed(now) < idle) {
+        if (flow.lastSeen.elapsed(now) < idle) {
             return false;
         }
         release(flow);
@@ -395,14 +397,14 @@
 
 // ---- Decisions ----
 
-template<TargetSelectionPolicy Choice>
-SteeringDecision BasicFlowSteering<Choice>::forward(SteeringReason reason, const SteeredTarget &target)
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::forward(SteeringReason reason, const SteeredTarget &target)
 {
     return {SteeringAction::Forward, reason, target.record.key, target.record.address, target.token, 0};
 }
 
-template<TargetSelectionPolicy Choice>
-SteeringDecision BasicFlowSteering<Choice>::reset(SteeringReason reason, const FlowPacket &packet)
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::reset(SteeringReason reason, const FlowPacket &packet)
 {
     const auto flow = m_flows.find(FlowKey{packet.caller, packet.route});
     if (flow != m_flows.end()) {
@@ -412,64 +414,64 @@
     return {SteeringAction::Reset, reason, {}, {}, {}, packet.opening ? 0 : packet.acknowledged};
 }
 
-template<TargetSelectionPolicy Choice>
-SteeringDecision BasicFlowSteering<Choice>::drop(SteeringReason reason)
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::drop(SteeringReason reason)
 {
     return {SteeringAction::Drop, reason, {}, {}, {}, 0};
 }
 
-template<TargetSelectionPolicy Choice>
-SteeringDecision BasicFlowSteering<Choice>::hold(SteeringReason reason)
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::hold(SteeringReason reason)
 {
     return {SteeringAction::Hold, reason, {}, {}, {}, 0};
 }
 
-// ---- Small questions ----
+// ---- Accessors ----
 
-template<TargetSelectionPolicy Choice>
-SteeringTargets &BasicFlowSteering<Choice>::targets()
+template<TargetSelectionPolicy Policy>
+SteeringTargets &BasicFlowSteering<Policy>::targets()
 {
     return m_targets;
 }
 
-template<TargetSelectionPolicy Choice>
-const SteeringTargets &BasicFlowSteering<Choice>::targets() const
+template<TargetSelectionPolicy Policy>
+const SteeringTargets &BasicFlowSteering<Policy>::targets() const
 {
     return m_targets;
 }
 
-template<TargetSelectionPolicy Choice>
-std::size_t BasicFlowSteering<Choice>::flowCount() const
+template<TargetSelectionPolicy Policy>
+std::size_t BasicFlowSteering<Policy>::flowCount() const
 {
     return m_flows.size();
 }
 
-template<TargetSelectionPolicy Choice>
-std::uint64_t BasicFlowSteering<Choice>::count(SteeringReason reason) const
+template<TargetSelectionPolicy Policy>
+std::uint64_t BasicFlowSteering<Policy>::count(SteeringReason reason) const
 {
     return m_counts[static_cast<std::size_t>(reason)];
 }
 
-template<TargetSelectionPolicy Choice>
-std::uint64_t BasicFlowSteering<Choice>::suspicions() const
+template<TargetSelectionPolicy Policy>
+std::uint64_t BasicFlowSteering<Policy>::suspicions() const
 {
     return m_suspicions;
 }
 
-template<TargetSelectionPolicy Choice>
-const LatencyHistogram &BasicFlowSteering<Choice>::openTimes() const
+template<TargetSelectionPolicy Policy>
+const LatencyHistogram &BasicFlowSteering<Policy>::openTimes() const
 {
     return m_openTimes;
 }
 
-template<TargetSelectionPolicy Choice>
-const LatencyHistogram &BasicFlowSteering<Choice>::answerTimes() const
+template<TargetSelectionPolicy Policy>
+const LatencyHistogram &BasicFlowSteering<Policy>::answerTimes() const
 {
     return m_answerTimes;
 }
 
-template<TargetSelectionPolicy Choice>
-std::size_t BasicFlowSteering<Choice>::droppedRoutes() const
+template<TargetSelectionPolicy Policy>
+std::size_t BasicFlowSteering<Policy>::droppedRoutes() const
 {
     return m_routes.removedRoutes();
 }
--- a/src/flow_steering.h
+++ b/src/flow_steering.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Flow steering: where each packet of a flow goes, as a state machine without I/O.
+// Flow steering: decides where each packet of a flow goes, as a state machine without I/O.
 //
-// The token in each packet names the flow's target, so any balancer routes any packet; the table of flows
-// below only helps it to choose well. Kin: Cheetah (Barbette et al., NSDI 2020) and QUIC-LB.
+// The token in each packet names the flow's target, so any balancer can route any packet; the flow table only improves the
+// choice of targets for new flows. Related: Cheetah (Barbette et al., NSDI 2020) and QUIC-LB.
 #pragma once
 
 #include "metrics.h"
@@ -14,47 +14,47 @@
 
 namespace Robinrail {
 
-// A target whose end was announced still empties its sockets; only after this are packets of its flows reset.
+// A target that announced that it left still processes what its sockets hold; packets of its flows are reset after this.
 inline constexpr Duration LeftTargetGrace = std::chrono::seconds(1);
 
-// A request without a sign of its answer is no longer counted as load after this. The longest time budget of
-// an interactive request is 3 s.
+// A request without a sign of an answer is no longer counted as load after this. The longest deadline of an interactive
+// request is 3 s.
 inline constexpr Duration MaxBusyTime = std::chrono::seconds(4);
 
-// Flows are forgotten after this without a packet, unless the routing table gives a time.
+// Idle time after which a flow is forgotten, unless the routing table sets one.
 inline constexpr Duration DefaultIdleTimeout = std::chrono::seconds(15);
 
-// Most flows in the table; beyond it flows are steered by token alone. At 64 bytes each, 16 MiB.
+// Capacity of the flow table, 16 MiB at 64 bytes per flow; further flows are steered by token alone.
 inline constexpr std::size_t MaxSteeredFlows = 200'000;
 
-// Copies of an opening packet are sent 200 ms and more apart. Two that come closer together were held up on
-// their way, and the later one says nothing about the target that got the first.
+// Copies of an opening packet are sent at least 200 ms apart. If two arrive closer together, they were delayed in the
+// network, and the later one is no evidence that the target did not answer the first.
 inline constexpr Duration MinRetransmitInterval = std::chrono::milliseconds(120);
 
-// How often the table of flows is searched for old ones.
+// Interval at which the flow table is searched for idle flows.
 inline constexpr Duration FlowSweepInterval = std::chrono::seconds(2);
 
 enum class SteeringAction : std::uint8_t {
     Forward,
     Reset,
     Drop,
-    Hold, // Steer it again once this balancer is informed.
+    Hold, // To be steered again when more routes or targets are known.
 };
 
 enum class SteeringReason : std::uint8_t {
     NewFlow,
-    RepeatedOpening, // The same copy once more: the same target.
-    OtherTarget, // A later copy: the first target stayed silent.
+    RepeatedOpening, // A duplicate; goes to the same target.
+    OtherTarget, // A retransmission; the first target did not answer.
     OpenFlow,
-    PinnedFlow, // The token named another target than the one where the flow opened.
+    PinnedFlow, // The token named another target than the one at which the flow is open.
     NoRoute,
     NoTarget,
     RouteDropped,
     TargetLeft,
-    TargetGone, // It was taken for gone a moment ago; this flow is new here.
+    TargetGone, // The target was recently marked as gone; the flow may be new to this balancer.
     UnknownToken,
-    NotInformed, // This balancer was just started and may not know the route or its targets yet.
-    LateOpening, // Waited through a standstill of this balancer: a copy of it has opened the flow elsewhere by now.
+    NotInformed, // This balancer has just started and may not know the route or its targets yet.
+    LateOpening, // Queued during a stall, or a late copy for an open flow: forwarding it could open the flow at a second target.
 };
 
 inline constexpr std::size_t SteeringReasonCount = 13;
@@ -64,35 +64,35 @@
 struct SteeringDecision {
     SteeringAction action = SteeringAction::Drop;
     SteeringReason reason = SteeringReason::UnknownToken;
-    TargetKey target{}; // Of Forward, like the next two.
+    TargetKey target{}; // Forward only, like the next two.
     Endpoint address;
     FlowToken token{};
-    std::uint32_t resetSequence = 0; // Of Reset.
+    std::uint32_t resetSequence = 0; // Reset only.
 };
 
-// A flow that this balancer resets of its own accord.
+// A reset that this balancer sends without a packet from the caller.
 struct FlowReset {
     FlowKey flow;
     TargetKey target{};
-    std::uint32_t sequence = 0; // What the caller acknowledged last, as a reset must name.
+    std::uint32_t sequence = 0; // Last number that the caller acknowledged, which a reset must carry.
 };
 
-// Most resets that one tick gives; the rest wait for the next one.
+// Most resets per call of takeResets(); the rest follow with the next call.
 inline constexpr std::size_t MaxResetsPerTick = 512;
 
 namespace detail {
 
 struct SteeredFlow {
     FlowToken target{};
-    CoarseTime seen;
-    CoarseTime sentAt; // Of the newest data; of the newest copy of the opening packet before that.
+    CoarseTime lastSeen;
+    CoarseTime sentAt; // When the newest data was forwarded; before any data, the newest copy of the opening packet.
     std::uint32_t sequence = 0; // Of the newest data.
     std::uint32_t acknowledged = 0;
     std::uint8_t copy = 0;
     bool open = false;
     bool busy = false;
-    bool counted = false; // Among the flows of its target.
-    bool openingSeenHere = false; // Its opening packet came here, at sentAt, and no other packet has come since.
+    bool counted = false; // Included in SteeredTarget::flows.
+    bool openingSeenHere = false; // Its opening packet came through here, at sentAt, and no other packet has since.
 };
 
 struct FlowKeyHash {
@@ -107,61 +107,60 @@
 
 } // namespace detail
 
-template<TargetSelectionPolicy Choice>
+template<TargetSelectionPolicy Policy>
 class BasicFlowSteering
 {
 public:
     explicit BasicFlowSteering(DataCentreId dataCentre);
 
-    // Puts a table in force; an older one than the present is ignored. Whether it was taken.
+    // Puts a table in force if it is newer than the present one; returns whether it was.
     bool apply(const RoutingTable &table);
     std::uint64_t version() const;
 
     SteeringTargets &targets();
     const SteeringTargets &targets() const;
 
-    // From now on these data centres get no new flows, and no others are left out; flows that are open stay. Targets of
-    // one that is taken back count as warming up, as they rested.
+    // Replaces the set of data centres that get no new flows; open flows stay. Targets of a data centre whose drain ends
+    // count as warming up, as they were idle.
     void setDrained(TimePoint now, std::span<const DataCentreId> drained);
 
-    // From now on what is not known does not exist. Before, an opening packet without a route or a target, and
-    // any other packet with an unknown token, is to be held.
+    // The balancer now knows all routes and targets, so that unknown ones don't exist. Before this call, opening packets
+    // without a route or target and other packets with an unknown token are held.
     void setInformed();
 
-    // Decides on one packet.
     SteeringDecision steer(TimePoint now, const FlowPacket &packet);
 
     void tick(TimePoint now);
 
-    // Open flows to reset now: their targets were taken for gone, and their callers are better told before the next
-    // request than by its deadline. Call it at each tick.
+    // Open flows whose targets were marked as gone, to be reset now: callers otherwise learn it only from the deadline of
+    // their next request. Call it at each tick.
     std::vector<FlowReset> takeResets();
 
-    // Targets that repeated data of open flows got no answer from, to be reported, once for each repetition.
+    // Targets that did not answer data of open flows before its retransmission; one entry per retransmission. To be reported.
     std::vector<TargetKey> takeUnanswered();
 
     std::size_t flowCount() const;
     std::uint64_t count(SteeringReason reason) const;
     std::uint64_t suspicions() const;
 
-    // From an opening packet to the caller's next one, and from a request's data to a sign of its answer.
+    // From an opening packet to the caller's next packet; from a request's data to the first acknowledgement of its answer.
     const LatencyHistogram &openTimes() const;
     const LatencyHistogram &answerTimes() const;
 
-    // Removed routes that are still remembered, to reset their flows.
+    // Number of removed routes that are still remembered to reset their flows.
     std::size_t droppedRoutes() const;
 
 private:
     using Flow = detail::SteeredFlow;
 
-    SteeringDecision open(TimePoint now, const FlowPacket &packet);
-    SteeringDecision follow(TimePoint now, const FlowPacket &packet);
+    SteeringDecision steerOpening(TimePoint now, const FlowPacket &packet);
+    SteeringDecision steerEstablished(TimePoint now, const FlowPacket &packet);
     SteeringDecision forward(SteeringReason reason, const SteeredTarget &target);
     SteeringDecision reset(SteeringReason reason, const FlowPacket &packet);
     SteeringDecision drop(SteeringReason reason);
     SteeringDecision hold(SteeringReason reason);
     SteeredTarget *choose(const SelectionContext &context, const Route &route, FlowToken avoid);
-    SteeredTarget *chooseOf(const SelectionContext &context, std::uint16_t service, FlowToken avoid);
+    SteeredTarget *chooseFromService(const SelectionContext &context, std::uint16_t service, FlowToken avoid);
     static std::uint16_t serviceOf(const Route &route, std::uint64_t flowHash);
     bool acceptsNewFlows(const SteeredTarget &target) const;
     void observe(TimePoint now, const FlowPacket &packet, Flow &flow);
@@ -177,7 +176,7 @@
     SteeringTargets m_targets;
     boost::unordered_flat_map<FlowKey, Flow, detail::FlowKeyHash> m_flows;
     TimePoint m_sweepDue;
-    std::vector<SteeredTarget *> m_candidates; // Kept between packets, so that no choice allocates.
+    std::vector<SteeredTarget *> m_candidates; // Reused between packets to avoid allocations.
     std::array<std::uint64_t, SteeringReasonCount> m_counts{};
     std::uint64_t m_suspicions = 0;
     std::vector<TargetKey> m_unanswered;
--- a/src/held_packets.h
+++ b/src/held_packets.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Held packets: what arrives before a balancer knows where it goes. It is kept for a moment, as the caller
-// would otherwise wait 200 ms to 1.6 s until it sends it again.
+// Packet hold queue: packets that arrive before the balancer knows their route or target. They are queued briefly, because
+// the caller would retransmit a dropped one only after 200 ms to 1.6 s.
 #pragma once
 
 #include "flow_packet.h"
@@ -11,22 +11,22 @@
 
 namespace Robinrail {
 
-// After this a packet of an open flow has been sent again, twice, and is worth nothing.
+// By then a packet of an open flow has been retransmitted twice, so that forwarding it is of no use.
 inline constexpr Duration MaxHoldTime = std::chrono::milliseconds(500);
 
-// How long a packet may be held. An opening packet must not outlast the pause until its next copy, which may open
-// the flow through another balancer.
+// How long a packet may be held. An opening packet must not be forwarded after its retransmission is due, as that copy
+// may open the flow through another balancer.
 inline Duration holdTime(const FlowPacket &packet)
 {
     return packet.opening ? std::min(retransmissionDelay(packet.copy), MaxHoldTime) : MaxHoldTime;
 }
 
-// Most packets that are held, 0.6 MB; beyond it the oldest goes. A balancer of the largest deployment gets 300
-// packets in the 0.3 s that it needs to learn the targets after a loss of power.
+// Capacity of the queue, 0.6 MB; when it is full, the oldest packet is dropped. A balancer of the largest deployment
+// receives 300 packets in the 0.3 s that it needs to learn the targets after a power failure.
 inline constexpr std::size_t MaxHeldPackets = 512;
 
 struct HeldPacket {
-    TimePoint until; // Worth nothing from then on.
+    TimePoint expiresAt; // Dropped instead of forwarded from then on.
     Bytes bytes;
 };
 
@@ -42,13 +42,13 @@
         m_packets.push_back(std::move(packet));
     }
 
-    // Takes out the packets that are not too old, in their order of arrival. One that still can't be steered may be
-    // held again, for as long as it was to be held at first.
+    // Removes and returns the packets that have not expired, in order of arrival. One that still can't be steered may be
+    // held again with its expiry unchanged.
     std::vector<HeldPacket> release(TimePoint now)
     {
         std::vector<HeldPacket> released;
         for (HeldPacket &packet : std::exchange(m_packets, {})) {
-            if (now < packet.until) {
+            if (now < packet.expiresAt) {
                 released.push_back(std::move(packet));
             } else {
                 ++m_dropped;
@@ -62,7 +62,7 @@
         return m_packets.empty();
     }
 
-    // How many packets were too old or too many since the last call.
+    // Number of packets that expired or exceeded the capacity since the last call.
     std::uint64_t takeDropped()
     {
         return std::exchange(m_dropped, 0);
--- a/src/packet_port.h
+++ b/src/packet_port.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Packet port: the UDP socket of a steering balancer. One wake-up handles a batch of packets, and no packet
-// allocates. What a packet looks like is a codec's matter.
+// Packet port: the UDP socket of a steering balancer. Packets are received and sent in batches, without allocating memory
+// for packets that are not held. The packet format is defined by a codec.
 #pragma once
 
 #include "held_packets.h"
@@ -18,13 +18,13 @@
 
 namespace Robinrail {
 
-// Packets of one batch. More arrive in one wake-up only under a load that nobody has measured yet.
+// Packets that one recvmmsg or sendmmsg call handles at most. No measured load delivers more in one wake-up.
 inline constexpr std::size_t PacketBatch = 32;
 
-// Batches that are handled before other events get a turn.
-inline constexpr int BatchesPerTurn = 4;
+// Batches that are handled before other events of the loop are served.
+inline constexpr int BatchesPerWakeup = 4;
 
-// Reads and writes the head of packets. A packet for a target goes out behind a prefix that names it.
+// Reads and writes packet headers. A packet for a target is sent with a prefix that names the target.
 template<typename C>
 concept PacketCodec = requires(BytesView bytes, std::span<std::uint8_t> writable, const FlowPacket &packet, FlowToken token, TargetKey key)
 {
@@ -62,7 +62,7 @@
         }
     }
 
-    // Binds and begins; false if the address can't be bound.
+    // Binds the socket and starts receiving; false if the address can't be bound.
     bool start(Endpoint endpoint)
     {
         boost::system::error_code error;
@@ -93,22 +93,22 @@
             if (error) {
                 return;
             }
-            handleTurn();
+            handleReadable();
             wait();
         });
     }
 
-    void handleTurn()
+    void handleReadable()
     {
         m_node.beginReceive();
         bool emptied = false;
-        for (int batch = 0; batch < BatchesPerTurn && !emptied; ++batch) {
+        for (int batch = 0; batch < BatchesPerWakeup && !emptied; ++batch) {
             emptied = handleBatch() < PacketBatch;
         }
         m_node.endReceive(emptied);
     }
 
-    // Handles what has arrived, at most a batch; how many packets that were.
+    // Receives and handles one batch of packets; returns their number.
     std::size_t handleBatch()
     {
         for (std::size_t i = 0; i < PacketBatch; ++i) {
@@ -126,31 +126,31 @@
         return static_cast<std::size_t>(received);
     }
 
-    // `heldUntil`: how long a packet that was held before may be held on.
+    // `heldUntil`: the expiry of a packet that was held before.
     void handle(Slot &slot, std::size_t length, std::optional<TimePoint> heldUntil)
     {
         const std::span<std::uint8_t> packet = std::span(slot).subspan(Codec::PrefixSize, length);
-        const std::optional<FlowPacket> head = Codec::decode(packet);
-        if (!head) {
+        const std::optional<FlowPacket> header = Codec::decode(packet);
+        if (!header) {
             m_node.countMalformed();
             return;
         }
-        const SteeringDecision decision = m_node.steer(*head);
+        const SteeringDecision decision = m_node.steer(*header);
         switch (decision.action) {
         case SteeringAction::Forward:
             Codec::writeToken(packet, decision.token);
             Codec::writePrefix(slot, decision.target);
             return queue(slot, Codec::PrefixSize + length, decision.address);
         case SteeringAction::Reset:
-            return queue(slot, Codec::writeReset(slot, *head, decision.resetSequence), {head->caller.address, m_replyPort});
+            return queue(slot, Codec::writeReset(slot, *header, decision.resetSequence), {header->caller.address, m_replyPort});
         case SteeringAction::Hold:
-            return m_held.hold({heldUntil.value_or(monotonicNow() + holdTime(*head)), Bytes(packet.begin(), packet.end())});
+            return m_held.hold({heldUntil.value_or(monotonicNow() + holdTime(*header)), Bytes(packet.begin(), packet.end())});
         case SteeringAction::Drop:
             return;
         }
     }
 
-    // Steers the packets that were held, a batch at a time.
+    // Steers the held packets again, a batch at a time.
     void releaseHeld()
     {
         if (m_held.empty()) {
@@ -163,7 +163,7 @@
             for (std::size_t i = at; i < std::min(at + PacketBatch, held.size()); ++i) {
                 Slot &slot = m_slots[i - at];
                 std::copy(held[i].bytes.begin(), held[i].bytes.end(), slot.begin() + Codec::PrefixSize);
-                handle(slot, held[i].bytes.size(), held[i].until);
+                handle(slot, held[i].bytes.size(), held[i].expiresAt);
             }
             flush();
         }
@@ -194,7 +194,7 @@
         ++m_outCount;
     }
 
-    // A packet that can't be sent now is lost, as on any link; its sender sends it again.
+    // Drops packets that the kernel does not accept; the protocol above retransmits them.
     void flush()
     {
         std::size_t sent = 0;
@@ -211,7 +211,7 @@
 
     SteeringNode &m_node;
     boost::asio::ip::udp::socket m_socket;
-    std::uint16_t m_replyPort = 0; // Where callers take packets, too.
+    std::uint16_t m_replyPort = 0; // Callers receive at the same port number.
     std::array<Slot, PacketBatch> m_slots{};
     std::array<mmsghdr, PacketBatch> m_in{};
     std::array<mmsghdr, PacketBatch> m_out{};
--- a/src/replica_choice.cpp
+++ b/src/replica_choice.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica choice: implementation.
+// Replica selector: implementation.
 #include "replica_choice.h"
 
 #include "hash.h"
@@ -8,14 +8,14 @@
 
 namespace Robinrail {
 
-ReplicaSelector::ReplicaSelector(DataCentreId dataCentre, std::uint64_t self)
+ReplicaSelector::ReplicaSelector(DataCentreId dataCentre, std::uint64_t balancerId)
     : m_dataCentre(dataCentre)
-    , m_balancerId(self)
+    , m_balancerId(balancerId)
 {
 }
 
-// Own data centre first; among equals the order is this balancer's own, by rendezvous hashing.
-void ReplicaSelector::know(std::span<const ReplicaPlace> named, std::span<const ReplicaId> seeds)
+// Replicas of the own data centre come first; within a rank, rendezvous hashing gives each balancer its own order.
+void ReplicaSelector::setReplicas(std::span<const ReplicaPlace> named, std::span<const ReplicaId> seeds)
 {
     enum class Rank : std::uint8_t {
         Near,
@@ -46,19 +46,19 @@
     });
 }
 
-void ReplicaSelector::answered(TimePoint now, ReplicaId replica)
+void ReplicaSelector::onAccepted(TimePoint now, ReplicaId replica)
 {
     m_acceptedAt.try_emplace(replica, now);
 }
 
-void ReplicaSelector::linked(TimePoint now, ReplicaId replica)
+void ReplicaSelector::onLinkUp(TimePoint now, ReplicaId replica)
 {
     m_acceptedAt.erase(replica);
     m_states[replica].linked = true;
     m_firstLinkAt = m_firstLinkAt.value_or(now);
 }
 
-void ReplicaSelector::lost(TimePoint now, ReplicaId replica)
+void ReplicaSelector::onLinkLost(TimePoint now, ReplicaId replica)
 {
     m_states.erase(replica);
     m_acceptedAt.erase(replica);
@@ -67,20 +67,20 @@
     }
 }
 
-void ReplicaSelector::confirmed(TimePoint now, ReplicaId replica)
+void ReplicaSelector::onQuorumConfirmed(TimePoint now, ReplicaId replica)
 {
     m_states[replica].confirmedAt = now;
 }
 
-void ReplicaSelector::completed(ReplicaId replica)
+void ReplicaSelector::onDirectoryComplete(ReplicaId replica)
 {
     m_states[replica].completed = true;
 }
 
-void ReplicaSelector::turn(TimePoint now)
+void ReplicaSelector::update(TimePoint now)
 {
     updateHealth(now);
-    m_nextSource = best(now);
+    m_nextSource = bestHealthy(now);
     if (!m_source) {
         m_nextSource = afterFirstChoiceGrace(now, m_nextSource ? m_nextSource : firstWithLink());
     }
@@ -103,16 +103,16 @@
 void ReplicaSelector::updateHealth(TimePoint now)
 {
     for (auto &[replica, state] : m_states) {
-        const bool was = std::exchange(state.healthy, healthy(now, replica));
-        if (!was && state.healthy) {
-            const std::uint64_t lot = hashPair(m_balancerId, static_cast<std::uint64_t>(now.time_since_epoch().count()));
-            state.failbackAt = now + Duration(static_cast<std::int64_t>(lot % static_cast<std::uint64_t>(MaxFailbackDelay.count())));
+        const bool wasHealthy = std::exchange(state.healthy, healthy(now, replica));
+        if (!wasHealthy && state.healthy) {
+            const std::uint64_t hash = hashPair(m_balancerId, static_cast<std::uint64_t>(now.time_since_epoch().count()));
+            state.failbackAt = now + Duration(static_cast<std::int64_t>(hash % static_cast<std::uint64_t>(MaxFailbackDelay.count())));
         }
     }
 }
 
-// The first healthy one. While the source is healthy, a better one must have been so for a while.
-std::optional<ReplicaId> ReplicaSelector::best(TimePoint now) const
+// The most preferred healthy replica. While the source is healthy, a better one is chosen only after its failback delay.
+std::optional<ReplicaId> ReplicaSelector::bestHealthy(TimePoint now) const
 {
     const bool sourceHealthy = m_source && healthy(now, *m_source);
     const auto at = std::find_if(m_preference.begin(), m_preference.end(), [&](ReplicaId replica) {
@@ -130,7 +130,7 @@
     return at != m_preference.end() ? std::optional(*at) : std::nullopt;
 }
 
-// Holds another replica than the first choice back until that one has had time to link up.
+// Returns no replica but the first choice until that one has had time to set up its link.
 std::optional<ReplicaId> ReplicaSelector::afterFirstChoiceGrace(TimePoint now, std::optional<ReplicaId> replica) const
 {
     const bool early = m_firstLinkAt && now - *m_firstLinkAt < FirstChoiceGrace;
@@ -138,7 +138,7 @@
     return early && !first ? std::nullopt : replica;
 }
 
-// Whether a replica that took a connection is still likely to greet.
+// Whether a replica that accepted a connection may still complete the handshake.
 bool ReplicaSelector::handshakePending(TimePoint now) const
 {
     return std::any_of(m_acceptedAt.begin(), m_acceptedAt.end(), [now](const auto &each) {
@@ -146,7 +146,7 @@
     });
 }
 
-// Dials no further than to a healthy source, and otherwise ever further.
+// Limits dialling to the replicas up to a healthy source; without one, dials one more replica each CandidateInterval.
 void ReplicaSelector::extendDialRange(TimePoint now)
 {
     const auto source = m_source ? std::find(m_preference.begin(), m_preference.end(), *m_source) : m_preference.end();
@@ -154,8 +154,8 @@
         m_dialCount = static_cast<std::size_t>(source - m_preference.begin()) + 1;
         m_dialDue = now + CandidateInterval;
     } else if (now >= std::max(m_dialDue, m_sourceGraceEnd) && !handshakePending(now)) {
-        const bool begun = m_dialDue != TimePoint{};
-        m_dialCount = std::min(m_dialCount + (begun ? 1 : 0), m_preference.size());
+        const bool started = m_dialDue != TimePoint{};
+        m_dialCount = std::min(m_dialCount + (started ? 1 : 0), m_preference.size());
         m_dialDue = now + CandidateInterval;
     }
 }
@@ -177,7 +177,7 @@
     if (m_source) {
         return;
     }
-    // Links that are up are not given up as long as nothing better is.
+    // Without a source, links that are up are kept.
     for (const auto &[replica, state] : m_states) {
         if (state.linked && known(replica)) {
             m_desiredLinks.insert(replica);
@@ -185,7 +185,7 @@
     }
 }
 
-const std::set<ReplicaId> &ReplicaSelector::wanted() const
+const std::set<ReplicaId> &ReplicaSelector::desiredLinks() const
 {
     return m_desiredLinks;
 }
--- a/src/standstill_watch.h
+++ b/src/standstill_watch.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Standstill watch: tells for how long a process did not run, so that what waited in its sockets is old.
+// Stall detector: measures how long a process was not scheduled, and thus how old the packets in its sockets may be.
 #pragma once
 
 #include "types.h"
@@ -8,7 +8,7 @@
 
 namespace Robinrail {
 
-// A pause between two turns of a process that is no standstill: twice the interval of its clock.
+// A pause between two calls of tick() from which on the process counts as stalled: twice the interval of its timer.
 inline constexpr Duration StallThreshold = std::chrono::milliseconds(100);
 
 class StallDetector
@@ -19,8 +19,8 @@
     {
     }
 
-    // The process runs. Call it more often than StallThreshold, and before reading what may have waited.
-    void turn(TimePoint now)
+    // Records that the process runs. Call it at shorter intervals than StallThreshold, and before reading from the sockets.
+    void tick(TimePoint now)
     {
         const Duration pause = now - m_last;
         m_last = now;
@@ -29,14 +29,14 @@
         }
     }
 
-    // All that waited has been read.
+    // All packets that had arrived were read.
     void queueEmptied()
     {
         m_maxQueueTime = {};
     }
 
-    // How long what is read now may have waited at most; 0 if the process did not stand still.
-    Duration waited() const
+    // Upper bound of the time that packets read now were queued; 0 if the process was not stalled.
+    Duration maxQueueTime() const
     {
         return m_maxQueueTime;
     }
--- a/src/steering_choice.h
+++ b/src/steering_choice.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Steering choice: which target a new flow goes to, as policies that tests and benchmarks compare.
+// Target selection: policies that pick the target of a new flow. Tests and benchmarks compare them.
 #pragma once
 
 #include "hash.h"
@@ -10,14 +10,14 @@
 
 namespace Robinrail {
 
-// What a choice may look at.
+// Input of a policy besides the candidates.
 struct SelectionContext {
     TimePoint now;
     std::uint64_t flowHash = 0; // The same at every balancer.
     DataCentreId dataCentre{}; // Of this balancer.
 };
 
-// Picks one of the candidates; there is at least one.
+// Picks one of the candidates, of which there is at least one.
 template<typename C>
 concept TargetSelectionPolicy = requires(std::span<SteeredTarget *const> candidates, const SelectionContext &context)
 {
@@ -26,7 +26,7 @@
         } -> std::same_as<SteeredTarget *>;
 };
 
-// Baseline: the flow's hash alone, whatever the load.
+// Baseline: rendezvous hashing of the flow, regardless of load.
 struct HashSelection {
     static SteeredTarget *pick(std::span<SteeredTarget *const> candidates, const SelectionContext &context)
     {
@@ -41,26 +41,26 @@
     }
 };
 
-// Part of a slot that an open flow uses over time: about one request of 40 ms a second.
+// Average share of a slot that an open flow uses: about one request of 40 ms per second.
 inline constexpr double SlotsPerOpenFlow = 0.05;
 
-// Load, in parts of a target's slots as this balancer sees it, that a target in another data centre must be
-// better by: all slots of the best target here are taken by this balancer's own requests. Bytes between data
-// centres cost, and a flow within one survives its being cut off.
+// Added to the load of a target in another data centre, as a fraction of its slots. At 1 a remote target is chosen only if
+// this balancer's own requests occupy all slots of the best local one: traffic between data centres is costly, and a flow
+// within one data centre survives its isolation.
 inline constexpr double RemoteDataCentrePenalty = 1;
 
-// A target that is warming up takes about this many times as long.
+// Service time of a target that is warming up, relative to a warm one.
 inline constexpr double WarmupFactor = 1.6;
 
-// The least used target by the balancer's own counts; among equals the flow's hash decides, so that a copy
-// of an opening packet goes to the same target from every balancer that sees the same load.
+// The least loaded target by the balancer's own counts. Ties are broken by the flow's hash, so that a copy of an opening
+// packet goes to the same target from every balancer that sees the same load.
 struct LeastLoadedSelection {
     static double load(const SteeredTarget &target, const SelectionContext &context)
     {
         const double used = target.busy + SlotsPerOpenFlow * target.flows + SlotsPerOpenFlow;
-        const double slow = context.now < target.warmupEnd ? WarmupFactor : 1;
-        const double away = target.record.dataCentre != context.dataCentre ? RemoteDataCentrePenalty : 0;
-        return used * slow / std::max(target.record.slots, 1U) + away;
+        const double warmupFactor = context.now < target.warmupEnd ? WarmupFactor : 1;
+        const double penalty = target.record.dataCentre != context.dataCentre ? RemoteDataCentrePenalty : 0;
+        return used * warmupFactor / std::max(target.record.slots, 1U) + penalty;
     }
 
     static SteeredTarget *pick(std::span<SteeredTarget *const> candidates, const SelectionContext &context)
@@ -79,24 +79,24 @@
     }
 };
 
-// Power of two choices (Mitzenmacher 2001): of two targets that the flow's hash names in each of the own data centre and
-// the rest, the one that is used least by the balancer's own counts.
+// Power of two choices (Mitzenmacher 2001): the flow's hash names two targets in the own data centre and two elsewhere; of
+// these, the least loaded one by the balancer's own counts is picked.
 //
-// The pattern that it answers: each of many balancers sees a small part of a target's load, so that a target that has just
-// started has the lowest counts at all of them. The least used of all gets the next flow of every balancer, 7 to 12 from each
-// of 11 among 89 within half a second, while it is still slow. The hash bounds what a target can draw to twice its share,
-// whatever the counts say, and the counts still tell a busy target from an idle one where a balancer sees much of the load.
+// Each of many balancers sees only a small part of a target's load, so a target that has just started has the lowest counts
+// at all of them. Picking the least loaded of all targets sends it the next flows of every balancer, while it is still slow:
+// 7 to 12 flows from each of 11 balancers, with 89 targets, within half a second. The hash limits a target to twice its share
+// whatever the counts are, and the counts still tell busy from idle targets where a balancer sees much of the load.
 struct PowerOfTwoSelection {
     static SteeredTarget *pick(std::span<SteeredTarget *const> candidates, const SelectionContext &context)
     {
-        Pair here;
-        Pair elsewhere;
+        TopTwo local;
+        TopTwo remote;
         for (SteeredTarget *target : candidates) {
-            const std::uint64_t lot = hashPair(context.flowHash, value(target->record.key));
-            (target->record.dataCentre == context.dataCentre ? here : elsewhere).offer(target, lot);
+            const std::uint64_t score = hashPair(context.flowHash, value(target->record.key));
+            (target->record.dataCentre == context.dataCentre ? local : remote).offer(target, score);
         }
         SteeredTarget *best = nullptr;
-        for (SteeredTarget *target : {here.first, here.second, elsewhere.first, elsewhere.second}) {
+        for (SteeredTarget *target : {local.first, local.second, remote.first, remote.second}) {
             const bool better = target != nullptr
                 && (best == nullptr || LeastLoadedSelection::load(*target, context) < LeastLoadedSelection::load(*best, context));
             best = better ? target : best;
@@ -105,21 +105,21 @@
     }
 
 private:
-    // The two targets with the highest lots; null as long as there are fewer.
-    struct Pair {
+    // The two targets with the highest scores; null while fewer were offered.
+    struct TopTwo {
         SteeredTarget *first = nullptr;
         SteeredTarget *second = nullptr;
-        std::uint64_t firstLot = 0;
-        std::uint64_t secondLot = 0;
+        std::uint64_t firstScore = 0;
+        std::uint64_t secondScore = 0;
 
-        void offer(SteeredTarget *target, std::uint64_t lot)
+        void offer(SteeredTarget *target, std::uint64_t score)
         {
-            if (first == nullptr || lot > firstLot) {
+            if (first == nullptr || score > firstScore) {
                 second = std::exchange(first, target);
-                secondLot = std::exchange(firstLot, lot);
-            } else if (second == nullptr || lot > secondLot) {
+                secondScore = std::exchange(firstScore, score);
+            } else if (second == nullptr || score > secondScore) {
                 second = target;
-                secondLot = lot;
+                secondScore = score;
             }
         }
     };
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -15,7 +15,7 @@
     , m_links(io,
               {NodeRole::Balancer, ReplicaId{0}, m_file.dataCentreId(m_file.dataCentre)},
               {[this](ReplicaId replica) {
-                   m_replicaSelector.answered(monotonicNow(), replica);
+                   m_replicaSelector.onAccepted(monotonicNow(), replica);
                },
                [this](LinkHandle link, const NodeHello &peer) {
                    onEstablished(link, peer);
@@ -92,13 +92,13 @@
 void SteeringNode::tick()
 {
     m_now = monotonicNow();
-    m_stallDetector.turn(m_now);
+    m_stallDetector.tick(m_now);
     selectReplicas();
     m_links.tick(m_now);
     m_steering.tick(m_now);
     reportUnanswered();
     resetFlows();
-    fetchIfBehind(m_now);
+    requestTableIfBehind(m_now);
     updateReadiness();
     m_timer.expires_after(SteeringTickInterval);
     m_timer.async_wait([this](const boost::system::error_code &error) {
@@ -110,14 +110,14 @@
 
 // ---- Packets ----
 
-void SteeringNode::setRoutingDataHandler(std::function<void()> learnt)
+void SteeringNode::setRoutingDataHandler(std::function<void()> handler)
 {
-    m_onRoutingData = std::move(learnt);
+    m_onRoutingData = std::move(handler);
 }
 
 void SteeringNode::beginReceive()
 {
-    m_stallDetector.turn(monotonicNow());
+    m_stallDetector.tick(monotonicNow());
 }
 
 void SteeringNode::endReceive(bool emptied)
@@ -130,7 +130,7 @@
 SteeringDecision SteeringNode::steer(FlowPacket packet)
 {
     const TimePoint now = monotonicNow();
-    packet.waited = m_stallDetector.waited();
+    packet.maxQueueTime = m_stallDetector.maxQueueTime();
     const SteeringDecision decision = m_steering.steer(now, packet);
     if (decision.reason != SteeringReason::OpenFlow) {
         logDecision(now, packet, decision);
@@ -140,7 +140,7 @@
 
 void SteeringNode::logDecision(TimePoint now, const FlowPacket &packet, const SteeringDecision &decision)
 {
-    const std::optional<std::uint64_t> leftOut = m_logs[static_cast<std::size_t>(decision.reason)].take(now);
+    const std::optional<std::uint64_t> leftOut = m_decisionLogs[static_cast<std::size_t>(decision.reason)].take(now);
     if (!leftOut) {
         return;
     }
@@ -166,7 +166,7 @@
 
 // ---- Replicas ----
 
-// The seeds, and whatever replicas those name.
+// Passes the seeds and the replicas that are named in replica lists to the selector.
 void SteeringNode::updateReplicas()
 {
     std::vector<ReplicaId> seeds;
@@ -177,20 +177,20 @@
     for (const auto &[replica, list] : m_replicaLists) {
         named.insert(named.end(), list.begin(), list.end());
     }
-    m_replicaSelector.know(named, seeds);
+    m_replicaSelector.setReplicas(named, seeds);
     selectReplicas();
 }
 
 void SteeringNode::selectReplicas()
 {
     const std::optional<ReplicaId> source = m_replicaSelector.source();
-    const std::set<ReplicaId> before = m_replicaSelector.wanted();
-    m_replicaSelector.turn(monotonicNow());
+    const std::set<ReplicaId> before = m_replicaSelector.desiredLinks();
+    m_replicaSelector.update(monotonicNow());
     if (m_replicaSelector.source() && m_replicaSelector.source() != source) {
         m_steering.targets().setSource(*m_replicaSelector.source());
         LogLine(LogLevel::Info, "replica-followed").with("replica", toText(*m_replicaSelector.source()));
     }
-    const std::set<ReplicaId> &wanted = m_replicaSelector.wanted();
+    const std::set<ReplicaId> &wanted = m_replicaSelector.desiredLinks();
     if (wanted != before) {
         m_links.maintain(wanted, m_file.linkPort);
     }
@@ -202,13 +202,14 @@
     followDirectories();
 }
 
-// Asks for directories on links on which that was not done yet.
+// Requests directories on links on which that was not done yet.
 void SteeringNode::followDirectories()
 {
     for (const ReplicaId replica : m_replicaSelector.followed()) {
         const LinkHandle link = m_links.linkTo(replica);
         if (link != 0 && std::exchange(m_directoryLinks[replica], link) != link) {
-            // Behind a whole directory a table would wait for 70 ms on a link of 2 Mbit/s, and both are needed to steer.
+            // The table is requested first: behind a whole directory it would be delayed by 70 ms on a link of 2 Mbit/s, and
+            // both are needed to steer.
             if (m_steering.version() == 0) {
                 m_links.send(link, RoutingRequest{});
             }
@@ -219,7 +220,7 @@
 
 void SteeringNode::onEstablished(LinkHandle /*link*/, const NodeHello &peer)
 {
-    m_replicaSelector.linked(monotonicNow(), peer.replica);
+    m_replicaSelector.onLinkUp(monotonicNow(), peer.replica);
     LogLine(LogLevel::Info, "replica-link-up").with("replica", toText(peer.replica));
 }
 
@@ -227,7 +228,7 @@
 {
     LogLine(LogLevel::Warning, "replica-link-lost").with("replica", toText(peer.replica)).with("ready", m_ready);
     m_offeredVersions.erase(link);
-    m_replicaSelector.lost(monotonicNow(), peer.replica);
+    m_replicaSelector.onLinkLost(monotonicNow(), peer.replica);
     m_follower.lost(peer.replica);
     m_directoryLinks.erase(peer.replica);
     const bool others = !m_links.dialled().empty();
@@ -240,14 +241,14 @@
 {
     if (const auto *page = std::get_if<DirectoryPage>(&message)) {
         onPage(link, peer.replica, *page);
-    } else if (const auto *gone = std::get_if<TargetsUnreachable>(&message)) {
-        onUnreachable(*gone);
+    } else if (const auto *unreachable = std::get_if<TargetsUnreachable>(&message)) {
+        onUnreachable(*unreachable);
     } else if (const auto *list = std::get_if<ReplicaList>(&message)) {
         m_replicaLists[peer.replica] = list->replicas;
         updateReplicas();
     } else if (const auto *offer = std::get_if<RoutingOffer>(&message)) {
         if (offer->confirmed) {
-            m_replicaSelector.confirmed(monotonicNow(), peer.replica);
+            m_replicaSelector.onQuorumConfirmed(monotonicNow(), peer.replica);
         }
         onOffer(link, *offer);
         selectReplicas();
@@ -263,7 +264,7 @@
     case PageVerdict::Taken:
         break;
     case PageVerdict::Completed:
-        m_replicaSelector.completed(replica);
+        m_replicaSelector.onDirectoryComplete(replica);
         selectReplicas();
         break;
     case PageVerdict::Gap:
@@ -274,7 +275,7 @@
         LogLine(LogLevel::Error, "directory-page-malformed").with("replica", toText(replica)).with("after", page.after);
         return;
     }
-    // With part of a directory, all openings would go to the few targets of its first pages.
+    // Held packets wait for the last page: with a partial directory all new flows would go to the targets of its first pages.
     if (!m_informed && page.last) {
         m_onRoutingData();
     }
@@ -282,9 +283,9 @@
 
 // ---- Targets that are gone ----
 
-void SteeringNode::setResetHandler(std::function<void(std::span<const FlowReset>)> send)
+void SteeringNode::setResetHandler(std::function<void(std::span<const FlowReset>)> sendResets)
 {
-    m_sendResets = std::move(send);
+    m_sendResets = std::move(sendResets);
 }
 
 void SteeringNode::onUnreachable(const TargetsUnreachable &list)
@@ -336,12 +337,12 @@
     if (offer.confirmed) {
         m_confirmedVersion = std::max(m_confirmedVersion, offer.progress.version);
     }
-    drain(offer);
-    fetchIfBehind(monotonicNow());
+    applyDrains(offer);
+    requestTableIfBehind(monotonicNow());
 }
 
-// Each offer carries the drains in full, so one that got lost is made up for by the next, 500 ms later.
-void SteeringNode::drain(const RoutingOffer &offer)
+// Each offer carries the full set of drained data centres, so a lost one is made up for by the next, 500 ms later.
+void SteeringNode::applyDrains(const RoutingOffer &offer)
 {
     if (offer.progress.drainRevision <= m_drainRevision) {
         return;
@@ -351,7 +352,7 @@
     LogLine(LogLevel::Info, "data-centres-drained").with("revision", m_drainRevision).with("drained", offer.drained.size());
 }
 
-void SteeringNode::fetchIfBehind(TimePoint now)
+void SteeringNode::requestTableIfBehind(TimePoint now)
 {
     if (now < m_fetchDue) {
         return;
@@ -359,7 +360,7 @@
     LinkHandle best = 0;
     std::uint64_t highest = m_steering.version();
     for (const auto &[link, version] : m_offeredVersions) {
-        // Of equals take another replica than the one that was asked last, in case that one is stuck.
+        // Of replicas with the same version, prefer another one than was asked last, in case that one does not answer.
         const bool preferred = version == highest && best == m_fetchedFrom && best != 0;
         if (version > highest || preferred) {
             best = link;
@@ -390,7 +391,7 @@
     }
 }
 
-// ---- Small questions ----
+// ---- Counters and metrics ----
 
 void SteeringNode::countHeldTooLong(std::uint64_t packets)
 {
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Steering node: a steering balancer's links to the replicas, its readiness, its log and figures. Packets
-// come through a PacketPort.
+// Steering node: a steering balancer's links to the replicas, its readiness, log lines and metrics. PacketPort passes the
+// packets to it.
 #pragma once
 
 #include "directory_follower.h"
@@ -20,17 +20,18 @@
 
 namespace Robinrail {
 
-// The balancer's clock runs in steps of this. It finds dead links and old flows; packets don't wait for it.
+// Interval of the balancer's timer, which detects dead links and idle flows. Packets are handled as they arrive.
 inline constexpr std::chrono::milliseconds SteeringTickInterval{50};
 
-// At most one routing table is asked for in this time, as documents come in floods and reading a table of hundreds of
-// routes takes a small VM tens of milliseconds.
+// Least time between a received routing table and the next request for one: new versions arrive in bursts, and decoding a
+// table of hundreds of routes takes tens of milliseconds on a small VM.
 inline constexpr Duration MinRoutingFetchInterval = std::chrono::milliseconds(250);
 
-// A table that was asked for and did not come is asked for again, at another replica.
+// Time after which an unanswered request for a table is repeated, if possible to another replica.
 inline constexpr Duration RoutingFetchTimeout = std::chrono::milliseconds(600);
 
-// The fabric asks for readiness twice a second and leaves a balancer out after two refusals; twice that.
+// Time in which the fabric stops sending packets to a balancer that is not ready. It polls readiness twice a second and
+// excludes a balancer after two refusals; the value is more than twice that time.
 inline constexpr Duration FabricDetectionTime = std::chrono::milliseconds(2500);
 
 class SteeringNode
@@ -40,34 +41,35 @@
 
     void start();
 
-    // Takes changed settings; only the seeds can change while it runs.
+    // Applies changed settings; only the seeds can change at run time.
     void reload(const SteeringFile &file);
 
-    // From now on it is not ready, and forwards as before until the process ends.
+    // From now on the node is not ready, but still forwards packets until the process ends.
     void beginStop();
 
-    // How long to forward on after beginStop(): until the fabric has noticed, well before the kill.
+    // How long to forward after beginStop(): until the fabric has noticed, but at most half the grace period before the kill.
     Duration stopTime() const;
 
-    // Whether the fabric may send packets here: it has a confirmed table and knows the targets.
+    // Whether the fabric may send packets here: the node has a confirmed routing table and knows the targets.
     bool ready() const;
 
-    // What runs each time that this node learnt routes or targets, until it is informed, so that held packets can be
-    // steered. After a loss of all power the targets are known as soon as one replica is up, and whether its table is
-    // the newest one only after an election: 130 to 300 ms later on the smallest deployment.
-    void setRoutingDataHandler(std::function<void()> learnt);
+    // Sets the handler that runs whenever this node has received routes or targets, until it is informed, so that held
+    // packets can be steered early. After a power failure of the whole deployment the targets are known as soon as one
+    // replica is up, but whether its table is the newest one only after an election: 130 to 300 ms later on the smallest
+    // deployment.
+    void setRoutingDataHandler(std::function<void()> handler);
 
-    // What sends resets of flows whose targets are gone.
-    void setResetHandler(std::function<void(std::span<const FlowReset>)> send);
+    // Sets the function that sends resets for flows whose targets are gone.
+    void setResetHandler(std::function<void(std::span<const FlowReset>)> sendResets);
 
-    // A turn of the packet port begins; ends. `emptied`: all packets that had arrived were read.
+    // Called before the packet port reads packets, and after. `emptied`: all packets that had arrived were read.
     void beginReceive();
     void endReceive(bool emptied);
 
-    // Decides on a packet and logs what a later question may be about.
+    // Decides on a packet, and logs all decisions but those on open flows, within a budget per reason.
     SteeringDecision steer(FlowPacket packet);
 
-    // Counts what the port saw.
+    // Counters of the packet port.
     void countMalformed();
     void countSendFailure();
     void countHeldTooLong(std::uint64_t packets);
@@ -86,9 +88,9 @@
     void resetFlows();
     void logReset(TimePoint now, const FlowReset &reset);
     void onOffer(LinkHandle link, const RoutingOffer &offer);
-    void drain(const RoutingOffer &offer);
+    void applyDrains(const RoutingOffer &offer);
     void onUpdate(const RoutingUpdate &update);
-    void fetchIfBehind(TimePoint now);
+    void requestTableIfBehind(TimePoint now);
     void updateReplicas();
     void selectReplicas();
     void followDirectories();
@@ -101,17 +103,17 @@
     FlowSteering m_steering;
     StallDetector m_stallDetector;
     TimePoint m_now;
-    std::map<ReplicaId, std::vector<ReplicaPlace>> m_replicaLists; // Replicas that each replica named.
+    std::map<ReplicaId, std::vector<ReplicaPlace>> m_replicaLists; // The replica list that each replica sent.
     ReplicaSelector m_replicaSelector;
     DirectoryFollower m_follower;
-    std::map<ReplicaId, LinkHandle> m_directoryLinks; // The links on which replicas were asked for their directories.
-    std::map<LinkHandle, std::uint64_t> m_offeredVersions; // Newest version that a link's replica has.
+    std::map<ReplicaId, LinkHandle> m_directoryLinks; // Links on which the replicas' directories were requested.
+    std::map<LinkHandle, std::uint64_t> m_offeredVersions; // Newest routing version offered on each link.
     TimePoint m_fetchDue;
     LinkHandle m_fetchedFrom = 0;
     bool m_fetching = false;
-    std::uint64_t m_confirmedVersion = 0; // The newest one at some moment, as a replica with a quorum said.
-    std::uint64_t m_drainRevision = 0; // Of the drained data centres in force here.
-    bool m_confirmed = false; // The table was the newest one once.
+    std::uint64_t m_confirmedVersion = 0; // Newest routing version that a replica in contact with a quorum has offered.
+    std::uint64_t m_drainRevision = 0; // Revision of the set of drained data centres in force.
+    bool m_confirmed = false; // Whether a table of at least the confirmed version has been applied.
     bool m_informed = false;
     std::function<void()> m_onRoutingData;
     ProbeFindings m_probeFindings;
@@ -120,7 +122,7 @@
     LogBudget m_resetLog;
     bool m_ready = false;
     bool m_stopping = false;
-    std::array<LogBudget, SteeringReasonCount> m_logs;
+    std::array<LogBudget, SteeringReasonCount> m_decisionLogs;
     std::uint64_t m_malformed = 0;
     std::uint64_t m_sendFailures = 0;
     std::uint64_t m_heldTooLong = 0;
--- a/src/steering_routes.cpp
+++ b/src/steering_routes.cpp
@@ -58,10 +58,10 @@
 
 std::vector<DataCentreId> SteeringRoutes::setDrained(std::span<const DataCentreId> drained)
 {
-    std::vector<DataCentreId> takenBack;
+    std::vector<DataCentreId> undrained;
     const std::set<DataCentreId> before = std::exchange(m_drained, {drained.begin(), drained.end()});
-    std::set_difference(before.begin(), before.end(), m_drained.begin(), m_drained.end(), std::back_inserter(takenBack));
-    return takenBack;
+    std::set_difference(before.begin(), before.end(), m_drained.begin(), m_drained.end(), std::back_inserter(undrained));
+    return undrained;
 }
 
 bool SteeringRoutes::isDrained(DataCentreId dataCentre) const
@@ -78,7 +78,8 @@
     return longest;
 }
 
-// A removed route resets the flows that it had; those live no longer than targets that left are remembered.
+// Packets of flows on a removed route are answered with resets. Such flows live no longer than RememberLeft, for which
+// targets that left are remembered too.
 void SteeringRoutes::tick(TimePoint now)
 {
     boost::unordered::erase_if(m_removed, [now](auto &each) {
--- a/src/steering_routes.h
+++ b/src/steering_routes.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Steering routes: what a balancer holds of the routing table in force, the routes that were removed of late, and the data
-// centres that are drained.
+// Steering routes: a balancer's routing table in force, the routes that were removed recently, and the drained data
+// centres.
 #pragma once
 
 #include "routing_table.h"
@@ -12,39 +12,39 @@
 
 namespace Robinrail {
 
-// How long targets of a data centre that is taken back are slow at least, unless the routing table gives more. Targets of
-// an interactive service that have rested have cold caches for about that long.
+// Least warm-up time of targets in a data centre whose drain ends; the routing table may give more. After an idle time,
+// targets of an interactive service have cold caches for about that long.
 inline constexpr Duration DefaultWarmup = std::chrono::seconds(2);
 
 class SteeringRoutes
 {
 public:
-    // Puts a table in force; an older one than the present is ignored. Whether it was taken.
+    // Puts a table in force if it is newer than the present one; returns whether it was.
     bool apply(const RoutingTable &table);
 
     const RoutingTable &table() const;
 
-    // The route at an address; null without one.
+    // The route at an address, or null.
     const Route *find(Endpoint address) const;
 
-    // Whether a route was there and was removed; for how long that is remembered is up to tick().
+    // Whether the route at an address was removed, until tick() forgets it.
     bool wasRemoved(Endpoint address) const;
     std::size_t removedRoutes() const;
 
-    // From now on these data centres get no new flows, and no others. Those that get some again.
+    // Replaces the set of data centres that get no new flows. Returns those whose drain ended.
     std::vector<DataCentreId> setDrained(std::span<const DataCentreId> drained);
     bool isDrained(DataCentreId dataCentre) const;
 
-    // How long the slowest service's targets warm up.
+    // Warm-up time of the service whose targets warm up longest.
     Duration longestWarmup() const;
 
-    // Forgets removed routes whose flows can't live any more.
+    // Forgets removed routes once none of their flows can be alive.
     void tick(TimePoint now);
 
 private:
     RoutingTable m_table;
-    boost::unordered_flat_map<std::uint64_t, const Route *> m_routes; // By address; into m_table.
-    boost::unordered_flat_map<std::uint64_t, TimePoint> m_removed; // By address; when the next tick saw that.
+    boost::unordered_flat_map<std::uint64_t, const Route *> m_routes; // By address; points into m_table.
+    boost::unordered_flat_map<std::uint64_t, TimePoint> m_removed; // By address; time of the first tick after the removal.
     std::set<DataCentreId> m_drained;
 };
 
--- a/src/steering_targets.cpp
+++ b/src/steering_targets.cpp
@@ -17,39 +17,39 @@
     return FlowToken{hash != 0 ? hash : 1};
 }
 
-void SteeringTargets::take(TimePoint now, ReplicaId replica, const TargetStatus &news)
+void SteeringTargets::take(TimePoint now, ReplicaId replica, const TargetStatus &status)
 {
-    const auto [at, added] = m_targets.try_emplace(news.record.key);
+    const auto [at, added] = m_targets.try_emplace(status.record.key);
     SteeredTarget &target = at->second;
-    if (news.silent) {
+    if (status.silent) {
         target.reportedAliveBy.erase(replica);
     } else {
         target.reportedAliveBy.insert(replica);
         target.goneUntil = {};
     }
-    if (!added && !news.record.supersedes(target.record)) {
+    if (!added && !status.record.supersedes(target.record)) {
         return;
     }
     if (!added) {
         remove(target);
     }
-    if (news.record.phase == TargetPhase::Left && (added || target.record.phase != TargetPhase::Left)) {
+    if (status.record.phase == TargetPhase::Left && (added || target.record.phase != TargetPhase::Left)) {
         target.leftAt = now;
     }
-    if (added || news.record.born != target.record.born) {
-        // Flows of a former lifetime are reset by the target itself, which does not know them.
+    if (added || status.record.born != target.record.born) {
+        // Flows of the former lifetime are reset by the target itself, as it does not know them.
         markAlive(now, target);
     }
-    target.record = news.record;
-    target.token = tokenOf(news.record.key);
-    target.warmupEnd = std::max(target.warmupEnd, now + news.record.warmupLeft);
+    target.record = status.record;
+    target.token = tokenOf(status.record.key);
+    target.warmupEnd = std::max(target.warmupEnd, now + status.record.warmupLeft);
     add(target);
 }
 
 void SteeringTargets::add(SteeredTarget &target)
 {
-    // Two lifetimes may share a token: about 3e-6 among 150 targets, about one pair among 89,000. The one
-    // that was known first keeps it; the other gets no flows, so that no packet goes astray.
+    // Two lifetimes may have the same token: with a probability of about 3e-6 among 150 targets, and about one pair among
+    // 89,000. The one known first keeps it; the other gets no flows, so that no packet is misrouted.
     const auto [at, added] = m_tokens.try_emplace(value(target.token), &target);
     target.tokenCollision = !added && at->second != &target;
     if (target.record.phase != TargetPhase::Left) {
@@ -69,9 +69,9 @@
     }
 }
 
-void SteeringTargets::dropReplicaReports(ReplicaId replica, bool others)
+void SteeringTargets::dropReplicaReports(ReplicaId replica, bool othersLeft)
 {
-    if (!others) {
+    if (!othersLeft) {
         return;
     }
     for (auto &[key, target] : m_targets) {
@@ -79,10 +79,10 @@
     }
 }
 
-void SteeringTargets::withdrawReportsExcept(ReplicaId replica, const std::set<TargetKey> &told)
+void SteeringTargets::withdrawReportsExcept(ReplicaId replica, const std::set<TargetKey> &listed)
 {
     for (auto &[key, target] : m_targets) {
-        if (!told.contains(key)) {
+        if (!listed.contains(key)) {
             target.reportedAliveBy.erase(replica);
         }
     }
@@ -112,8 +112,8 @@
     for (auto at = m_targets.begin(); at != m_targets.end();) {
         SteeredTarget &target = at->second;
         const bool left = target.record.phase == TargetPhase::Left;
-        const bool over = left ? now - target.leftAt >= RememberLeft : !reportedAlive(target) && now - target.lastAlive >= ForgetSilent;
-        if (over && target.flows == 0) {
+        const bool expired = left ? now - target.leftAt >= RememberLeft : !reportedAlive(target) && now - target.lastAlive >= ForgetSilent;
+        if (expired && target.flows == 0) {
             remove(target);
             at = m_targets.erase(at);
         } else {
--- a/src/steering_targets.h
+++ b/src/steering_targets.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Steering targets: a balancer's view of all targets, with what it saw of each itself.
+// Steering targets: a balancer's view of all targets, from replicas' reports and from its own packets.
 #pragma once
 
 #include "flow_packet.h"
@@ -15,29 +15,29 @@
 
 namespace Robinrail {
 
-// How long a target that did not answer is left out of new choices: at first, and at most after more of the
-// same. A trial costs one caller 200 ms, the pause before it sends its opening packet again.
+// How long a target that did not answer gets no new flows: at first, and at most, as the time doubles with each further
+// failure. Each new attempt on a dead target costs one caller 200 ms, the time until it retransmits its opening packet.
 inline constexpr Duration InitialSuspicion = std::chrono::seconds(1);
 inline constexpr Duration MaxSuspicion = std::chrono::seconds(8);
 
-// How long a target counts as gone after enough replicas tried in vain to connect to it, unless it shows life. Its flows
-// come here from balancers that went down with it, each with its data's next repetition, 0.2 to 1.6 s apart.
+// How long a target counts as gone after enough replicas failed to connect to it, unless a sign of life ends it. Flows of
+// balancers that failed together with the target arrive here with their next retransmission, 0.2 to 1.6 s apart.
 inline constexpr Duration GoneDuration = std::chrono::seconds(2);
 
 struct SteeredTarget {
     TargetRecord record;
     FlowToken token{};
-    std::set<ReplicaId> reportedAliveBy; // Replicas that say that it is alive.
-    TimePoint warmupEnd; // Slow before this.
+    std::set<ReplicaId> reportedAliveBy;
+    TimePoint warmupEnd;
     TimePoint suspectUntil;
-    Duration suspicion{}; // The last one's length; 0 after a sign of life.
-    TimePoint lastAlive; // Last sign of life that passed through here.
-    TimePoint leftAt; // When its end was learnt.
-    TimePoint goneUntil; // Data of its flows is answered with resets before this.
-    bool resetPending = false; // Its flows are to be reset now.
-    bool tokenCollision = false; // An older target has the same token: it gets no flows.
-    std::uint32_t flows = 0; // Open flows that pass through here.
-    std::uint32_t busy = 0; // Flows of those with a request under way.
+    Duration suspicion{}; // Length of the last suspicion; 0 after a sign of life.
+    TimePoint lastAlive; // Last sign of life in this balancer's own packets.
+    TimePoint leftAt; // When this balancer learned that it had left.
+    TimePoint goneUntil; // Before this, data packets of its flows are answered with resets.
+    bool resetPending = false; // Its open flows are still to be reset.
+    bool tokenCollision = false; // A target known earlier has the same token; this one gets no flows.
+    std::uint32_t flows = 0; // Flows through this balancer.
+    std::uint32_t busy = 0; // Those of them with a request in progress.
 
     bool suspect(TimePoint now) const
     {
@@ -53,47 +53,48 @@
 class SteeringTargets
 {
 public:
-    // Takes one replica's news of a target.
-    void take(TimePoint now, ReplicaId replica, const TargetStatus &news);
+    // Applies a replica's report on a target.
+    void take(TimePoint now, ReplicaId replica, const TargetStatus &status);
 
-    // A replica can't be heard any more; it vouches for nobody. Without any other replica the view is kept.
-    void dropReplicaReports(ReplicaId replica, bool others);
+    // Withdraws all reports of a replica that can't be reached. `othersLeft`: whether other replicas can; if not, the view is
+    // kept.
+    void dropReplicaReports(ReplicaId replica, bool othersLeft);
 
-    // All that this replica knows has been told; it vouches for these targets and no others.
-    void withdrawReportsExcept(ReplicaId replica, const std::set<TargetKey> &told);
+    // Withdraws this replica's reports on all targets that its complete directory does not list.
+    void withdrawReportsExcept(ReplicaId replica, const std::set<TargetKey> &listed);
 
-    // From now on only this replica's word on who is alive holds.
+    // From now on only this replica decides which targets are alive.
     void setSource(ReplicaId replica);
 
-    // Whether a target is said to be alive: by the source, or by any replica as long as there is none.
+    // Whether the source reports a target as alive; without a source, whether any replica does.
     bool reportedAlive(const SteeredTarget &target) const;
 
-    // All targets of a data centre are slow until this moment, whatever they announced.
+    // Targets of a data centre count as warming up at least until this time, whatever they announce.
     void startWarmup(DataCentreId dataCentre, TimePoint until);
 
-    // Leaves out targets that left or were silent for longer than flows live.
+    // Removes targets that left or have been silent for longer than flows live.
     void tick(TimePoint now);
 
-    // Holds a failure to answer against a target, or clears it.
+    // Records that a target did not answer; that it showed a sign of life.
     void suspect(TimePoint now, SteeredTarget &target);
     void markAlive(TimePoint now, SteeredTarget &target);
 
-    // Takes a target for gone, unless it showed life through here of late. Whether it is.
+    // Marks a target as gone unless it showed a sign of life through this balancer within RecentLife; returns whether it was marked.
     bool declareGone(TimePoint now, TargetKey key);
 
-    // Whether there are targets whose flows are to be reset, and that they were.
+    // Whether flows of any target are still to be reset; clears that once they were.
     bool anyResetPending() const;
     void clearResetPending();
 
-    // The target behind a token; null if it is not known.
+    // The target of a token, or null.
     SteeredTarget *find(FlowToken token);
 
-    // All targets of a service that have not left.
+    // Targets of a service, without those that left.
     std::span<SteeredTarget *const> ofService(const std::string &service) const;
 
     std::size_t size() const;
 
-    // The token of a lifetime: its number hashed to 32 bits, so that all balancers agree without a word.
+    // The token of a target's lifetime: its key hashed to 32 bits, so that all balancers derive the same one.
     static FlowToken tokenOf(TargetKey key);
 
 private:
@@ -102,7 +103,7 @@
 
     std::map<TargetKey, SteeredTarget> m_targets;
     std::optional<ReplicaId> m_source;
-    std::vector<TargetKey> m_resetPending; // Targets that were taken for gone, until their flows are reset.
+    std::vector<TargetKey> m_resetPending; // Targets marked as gone whose flows are still to be reset.
     boost::unordered_flat_map<std::uint32_t, SteeredTarget *> m_tokens;
     std::map<std::string, std::vector<SteeredTarget *>> m_services;
 };
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -73,12 +73,12 @@
     'const LogIndex agreed = matches.front();' '*replicas keep every promise*'
 mutate "voter before it caught up" src/raft_members.cpp \
     'return caughtUp && now' 'return (caughtUp || !caughtUp) && now' '*loss of a second one*,*replicas keep every promise*'
-mutate "steering: openings that waited are handed on" src/flow_steering.cpp 'if (packet.waited >= retransmissionDelay(packet.copy)) {' \
-    'if (packet.waited >= retransmissionDelay(packet.copy) && packet.reset) {' '*waited until its next copy*'
-mutate "steering: a copy right behind tells silence" src/flow_steering.cpp '|| tooSoon) &&' '|| (tooSoon && packet.reset)) &&' '*right behind the first*'
-mutate "steering: what is not known yet is dropped" src/flow_steering.cpp \
+mutate "steering: openings queued during a stall are forwarded" src/flow_steering.cpp 'if (packet.maxQueueTime >= retransmissionDelay(packet.copy)) {' \
+    'if (packet.maxQueueTime >= retransmissionDelay(packet.copy) && packet.reset) {' '*queued until its retransmission is due*'
+mutate "steering: a copy right behind the first makes its target suspect" src/flow_steering.cpp '|| tooSoon) &&' '|| (tooSoon && packet.reset)) &&' '*right behind the first*'
+mutate "steering: packets of unknown routes are dropped before the node is informed" src/flow_steering.cpp \
     'm_informed ? reset(SteeringReason::NoRoute, packet) : hold(SteeringReason::NotInformed)' \
-    'm_informed ? reset(SteeringReason::NoRoute, packet) : drop(SteeringReason::NotInformed)' '*holds what it does not know*'
+    'm_informed ? reset(SteeringReason::NoRoute, packet) : drop(SteeringReason::NotInformed)' '*holds packets of unknown routes*'
 mutate "steering: former lifetimes end at the first announcement only" src/target_directory.cpp \
     'known == nullptr || known->phase != TargetPhase::Left ||' 'known == nullptr ||' '*restarts at once*'
 mutate "steering: any lifetime ends the others at its address" src/target_directory.cpp 'entry.firstHeard < since' '(entry.firstHeard < since || entry.firstHeard >= since)' '*held up ends no successor*'
@@ -145,11 +145,11 @@
     'std::max(found->second.heard, now - target.age)' '*silent target is found elsewhere*'
 mutate "probers: those of one data centre first" src/prober_choice.h 'taken[place.dataCentre]++' '0 * taken[place.dataCentre]++' \
     '*same few for all*'
-mutate "replica choice: a replica without a quorum is followed on" src/replica_choice.cpp 'now - at->second.confirmedAt < HealthTimeout' \
-    'at->second.confirmedAt <= now' '*lost its quorum*'
-mutate "replica choice: all return at once" src/replica_choice.cpp 'now >= m_states.at(replica).failbackAt' 'now >= TimePoint{}' '*one after the other*'
-mutate "replica choice: the new view holds before it is whole" src/replica_choice.cpp 'if (m_nextSource && m_states.at(*m_nextSource).completed) {' \
-    'if (m_nextSource) {' '*until another has told all*'
+mutate "replica selector: a replica without a quorum is still followed" src/replica_choice.cpp 'now - at->second.confirmedAt < HealthTimeout' \
+    'at->second.confirmedAt <= now' '*leaves a replica that lost its quorum*'
+mutate "replica selector: all balancers fail back at once" src/replica_choice.cpp 'now >= m_states.at(replica).failbackAt' 'now >= TimePoint{}' '*fail back to a recovered replica one after the other*'
+mutate "replica selector: the source changes before its directory is complete" src/replica_choice.cpp 'if (m_nextSource && m_states.at(*m_nextSource).completed) {' \
+    'if (m_nextSource) {' '*until another directory is complete*'
 mutate "version watch: a lagging replica vouches" src/version_watch.h 'caughtUp && own.reaches(m_highest)' 'caughtUp && (own.reaches(m_highest) || caughtUp)' '*lags behind another*'
 mutate "no compare-and-set on versions" src/control_state.cpp 'if (propose.baseVersion != latestVersion()) {' \
     'if (propose.baseVersion > latestVersion()) {' '*equal numbers*'
@@ -161,21 +161,21 @@
 mutate "raft: hearing the leader is enough" src/raft_replication.cpp 'if (m_commit >= request.commit) {' 'if (m_commit <= request.commit) {' \
     '*does not vouch for its table before*'
 mutate "drains: a drained data centre gets new flows" src/flow_steering.cpp '&& !m_routes.isDrained(target.record.dataCentre)' '' '*drained data centre gets no new flows*'
-mutate "drains: a taken back data centre is warm" src/flow_steering.cpp 'now + m_routes.longestWarmup()' 'now' '*taken back warm up*'
-mutate "drains: an announcement ends the warm-up" src/steering_targets.cpp 'std::max(target.warmupEnd, now + news.record.warmupLeft)' \
-    'now + news.record.warmupLeft' '*taken back warm up*'
+mutate "drains: targets are warm at the end of a drain" src/flow_steering.cpp 'now + m_routes.longestWarmup()' 'now' '*warm up from the end of its drain*'
+mutate "drains: an announcement ends the warm-up" src/steering_targets.cpp 'std::max(target.warmupEnd, now + status.record.warmupLeft)' \
+    'now + status.record.warmupLeft' '*warm up from the end of its drain*'
 mutate "drains: a late copy finds an open flow a second target" src/flow_steering.cpp 'if (late && first != nullptr && !stays) {' \
     'if (late && first == nullptr && !stays) {' '*does not take an open flow away*'
-mutate "warm-up: a limited cold target is used" src/flow_steering.cpp '&& !(excludeWarming && context.now < target.warmupEnd)' '&& (excludeWarming || !excludeWarming)' \
+mutate "warm-up: a cold target with a warm-up limit is used" src/flow_steering.cpp '&& !(excludeWarming && context.now < target.warmupEnd)' '&& (excludeWarming || !excludeWarming)' \
     '*whose warm-up is limited*'
-mutate "births: a later lifetime is late news" src/target_record.h 'return born > other.born;' 'return born < other.born;' '*starts again under its key*'
+mutate "births: a later lifetime is late news" src/target_record.h 'return born > other.born;' 'return born < other.born;' '*restarts under its key*,*starts again under its key*'
 mutate "births: receipts of any lifetime confirm" src/target_record.h 'auto operator<=>(const TargetLifetime &) const = default;' \
     'auto operator<=>(const TargetLifetime &other) const { return key <=> other.key; } bool operator==(const TargetLifetime &other) const { return key == other.key; }' \
     '*former lifetime*'
-mutate "gone: flows that are new here go on to a gone target" src/flow_steering.cpp 'if (target->gone(now) && packet.dataBytes > 0) {' \
+mutate "gone: data of flows new to this balancer is forwarded to a gone target" src/flow_steering.cpp 'if (target->gone(now) && packet.dataBytes > 0) {' \
     'if (target->gone(now) && packet.dataBytes > 5000) {' '*new here is reset*'
-mutate "gone: data that began elsewhere is a sign of life" src/flow_steering.cpp 'if (answered && !openedElsewhere) {' 'if (answered || openedElsewhere) {' '*its data began elsewhere*'
-mutate "choice: the least used by own counts" src/flow_steering.h 'using FlowSteering = BasicFlowSteering<PowerOfTwoSelection>;' \
-    'using FlowSteering = BasicFlowSteering<LeastLoadedSelection>;' '*draws at most twice*'
+mutate "gone: data of a flow opened elsewhere is a sign of life" src/flow_steering.cpp 'if (answered && !openedElsewhere) {' 'if (answered || openedElsewhere) {' '*its data began elsewhere*'
+mutate "target selection: the least loaded by own counts" src/flow_steering.h 'using FlowSteering = BasicFlowSteering<PowerOfTwoSelection>;' \
+    'using FlowSteering = BasicFlowSteering<LeastLoadedSelection>;' '*gets at most twice its share*'
 echo "mutations that were wrong: $wrong"
 [ "$wrong" -eq 0 ]
--- a/tests/steering_balancer.h
+++ b/tests/steering_balancer.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Steering balancer: a balancer's steering with a few targets, and packets for it.
+// Steering balancer: test fixture with a balancer's flow steering, a few targets, and packets for it.
 #pragma once
 
 #include "flow_steering.h"
@@ -38,7 +38,7 @@
     return table;
 }
 
-// A balancer with two local targets for quotes, one elsewhere, and one for decks.
+// A balancer with two local and one remote target for quotes, and one local target for decks.
 struct SteeringBalancer {
     FlowSteering steering{Here};
     TimePoint now = Start;
@@ -74,7 +74,7 @@
         return steering.steer(now, opening);
     }
 
-    // A later packet of a flow, with data unless it has none.
+    // Steers a further packet of a flow, which carries data unless `bytes` is 0.
     SteeringDecision follow(std::uint32_t caller, FlowToken token, std::uint32_t sequence, std::uint32_t acknowledged, std::uint16_t bytes = 100)
     {
         FlowPacket later = packet(caller);
--- a/tests/test_replica_choice.cpp
+++ b/tests/test_replica_choice.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica choice: which replica a balancer follows, and where a target announces itself.
+// Replica selector: which replica a balancer follows. Announcement choice: which replica a target announces itself to.
 #include "announcement_choice.h"
 #include "replica_choice.h"
 
@@ -32,10 +32,10 @@
     return {{Far, Elsewhere}, {Near, Home}, {Farther, Elsewhere}};
 }
 
-// A choice whose clock runs in steps of 50 ms and whose healthy replicas say so each 500 ms.
-struct Chooser {
-    explicit Chooser(std::uint64_t self = 7)
-        : choice(Home, self)
+// A selector that is updated every 50 ms, with healthy replicas that confirm their quorum at each step.
+struct SelectorFixture {
+    explicit SelectorFixture(std::uint64_t self = 7)
+        : selector(Home, self)
     {
     }
 
@@ -44,211 +44,211 @@
         const TimePoint end = now + time;
         for (; now < end; now += milliseconds(50)) {
             for (const ReplicaId replica : healthy) {
-                choice.confirmed(now, replica);
+                selector.onQuorumConfirmed(now, replica);
             }
-            choice.turn(now);
+            selector.update(now);
         }
     }
 
     void linkUp(ReplicaId replica)
     {
-        choice.linked(now, replica);
+        selector.onLinkUp(now, replica);
         healthy.insert(replica);
     }
 
     void lose(ReplicaId replica)
     {
         healthy.erase(replica);
-        choice.lost(now, replica);
+        selector.onLinkLost(now, replica);
     }
 
-    ReplicaSelector choice;
+    ReplicaSelector selector;
     TimePoint now = Start;
     std::set<ReplicaId> healthy;
 };
 
 } // namespace
 
-TEST_CASE("a balancer ends with one link, to the replica of its data centre, whichever seed it met first")
+TEST_CASE("a balancer ends with one link, to the replica of its data centre, whichever seed it reached first")
 {
     for (std::uint64_t self = 1; self <= 50; ++self) {
-        Chooser chooser(self);
+        SelectorFixture fixture(self);
         const std::vector<ReplicaId> seeds = {Far, Farther};
-        chooser.choice.know({}, seeds);
-        chooser.choice.turn(chooser.now);
-        REQUIRE(chooser.choice.wanted().size() == 1);
-        const ReplicaId first = *chooser.choice.wanted().begin();
-        chooser.linkUp(first);
-        chooser.choice.know(threePlaces(), seeds);
-        chooser.choice.turn(chooser.now);
-        CHECK(chooser.choice.wanted() == std::set<ReplicaId>{first, Near});
-        CHECK(chooser.choice.followed().empty());
-        chooser.run(milliseconds(20));
-        chooser.linkUp(Near);
-        chooser.run(milliseconds(50));
-        CHECK(chooser.choice.followed() == std::vector<ReplicaId>{Near});
-        chooser.choice.completed(Near);
-        chooser.run(milliseconds(50));
-        CHECK(chooser.choice.source() == Near);
-        CHECK(chooser.choice.wanted() == std::set<ReplicaId>{Near});
+        fixture.selector.setReplicas({}, seeds);
+        fixture.selector.update(fixture.now);
+        REQUIRE(fixture.selector.desiredLinks().size() == 1);
+        const ReplicaId first = *fixture.selector.desiredLinks().begin();
+        fixture.linkUp(first);
+        fixture.selector.setReplicas(threePlaces(), seeds);
+        fixture.selector.update(fixture.now);
+        CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{first, Near});
+        CHECK(fixture.selector.followed().empty());
+        fixture.run(milliseconds(20));
+        fixture.linkUp(Near);
+        fixture.run(milliseconds(50));
+        CHECK(fixture.selector.followed() == std::vector<ReplicaId>{Near});
+        fixture.selector.onDirectoryComplete(Near);
+        fixture.run(milliseconds(50));
+        CHECK(fixture.selector.source() == Near);
+        CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{Near});
     }
 }
 
-TEST_CASE("balancers that start while all is dark try one more replica each 50 ms and follow the first that is up")
+TEST_CASE("a balancer that starts while no replica is up dials one more each 50 ms and follows the first that is up")
 {
-    Chooser chooser;
+    SelectorFixture fixture;
     const std::vector<ReplicaId> seeds = {Near, Far, Farther};
-    chooser.choice.know({}, seeds);
-    chooser.run(milliseconds(50));
-    CHECK(chooser.choice.wanted().size() == 1);
-    chooser.run(milliseconds(100));
-    CHECK(chooser.choice.wanted().size() == 3);
-    // Up, and without a quorum yet.
-    chooser.choice.linked(chooser.now, Farther);
-    chooser.run(FirstChoiceGrace + milliseconds(50));
-    CHECK(chooser.choice.followed() == std::vector<ReplicaId>{Farther});
-    chooser.choice.completed(Farther);
-    chooser.run(milliseconds(50));
-    CHECK(chooser.choice.source() == Farther);
+    fixture.selector.setReplicas({}, seeds);
+    fixture.run(milliseconds(50));
+    CHECK(fixture.selector.desiredLinks().size() == 1);
+    fixture.run(milliseconds(100));
+    CHECK(fixture.selector.desiredLinks().size() == 3);
+    // The replica is up but has no quorum yet.
+    fixture.selector.onLinkUp(fixture.now, Farther);
+    fixture.run(FirstChoiceGrace + milliseconds(50));
+    CHECK(fixture.selector.followed() == std::vector<ReplicaId>{Farther});
+    fixture.selector.onDirectoryComplete(Farther);
+    fixture.run(milliseconds(50));
+    CHECK(fixture.selector.source() == Farther);
 }
 
-TEST_CASE("a replica that took the connection is waited for, and no longer if it does not greet")
+TEST_CASE("a replica that accepted the connection is waited for, but not beyond the handshake grace")
 {
-    Chooser chooser;
+    SelectorFixture fixture;
     const std::vector<ReplicaId> seeds = {Near, Far, Farther};
-    chooser.choice.know({}, seeds);
-    chooser.run(milliseconds(50));
-    REQUIRE(chooser.choice.wanted().size() == 1);
-    const ReplicaId first = *chooser.choice.wanted().begin();
-    // Each attempt is answered, as the machine runs and the process is busy or stands still.
-    const TimePoint answered = chooser.now;
-    while (chooser.now - answered < HandshakeGrace) {
-        chooser.choice.answered(chooser.now, first);
-        chooser.run(milliseconds(50));
+    fixture.selector.setReplicas({}, seeds);
+    fixture.run(milliseconds(50));
+    REQUIRE(fixture.selector.desiredLinks().size() == 1);
+    const ReplicaId first = *fixture.selector.desiredLinks().begin();
+    // Each connection is accepted by the kernel while the process is busy or stopped.
+    const TimePoint answered = fixture.now;
+    while (fixture.now - answered < HandshakeGrace) {
+        fixture.selector.onAccepted(fixture.now, first);
+        fixture.run(milliseconds(50));
     }
-    CHECK(chooser.choice.wanted().size() == 1);
-    chooser.choice.answered(chooser.now, first);
-    chooser.run(milliseconds(150));
-    CHECK(chooser.choice.wanted().size() == 3);
+    CHECK(fixture.selector.desiredLinks().size() == 1);
+    fixture.selector.onAccepted(fixture.now, first);
+    fixture.run(milliseconds(150));
+    CHECK(fixture.selector.desiredLinks().size() == 3);
 }
 
-TEST_CASE("a balancer leaves a replica that lost its quorum, and keeps its view until another has told all")
+TEST_CASE("a balancer leaves a replica that lost its quorum, and keeps its source until another directory is complete")
 {
-    Chooser chooser;
-    chooser.choice.know(threePlaces(), {});
-    chooser.linkUp(Near);
-    chooser.choice.completed(Near);
-    chooser.run(milliseconds(500));
-    REQUIRE(chooser.choice.source() == Near);
-    // Cut off from the other replicas, it still speaks to this balancer.
-    chooser.healthy.erase(Near);
-    chooser.run(HealthTimeout + milliseconds(200));
-    CHECK(chooser.choice.wanted().size() >= 2);
-    chooser.linkUp(Far);
-    chooser.run(milliseconds(100));
-    CHECK(chooser.choice.source() == Near);
-    CHECK(chooser.choice.followed() == std::vector<ReplicaId>{Near, Far});
-    chooser.choice.completed(Far);
-    chooser.run(milliseconds(100));
-    CHECK(chooser.choice.source() == Far);
-    // The whole takes less than the shortest time in which a drain must be in force, 3 s, with a list of 1 s.
-    CHECK(chooser.now - Start < milliseconds(1000) + HealthTimeout);
-    CHECK(chooser.choice.wanted().contains(Near));
-    CHECK(chooser.choice.wanted().contains(Far));
+    SelectorFixture fixture;
+    fixture.selector.setReplicas(threePlaces(), {});
+    fixture.linkUp(Near);
+    fixture.selector.onDirectoryComplete(Near);
+    fixture.run(milliseconds(500));
+    REQUIRE(fixture.selector.source() == Near);
+    // The replica is cut off from the other replicas but still connected to this balancer.
+    fixture.healthy.erase(Near);
+    fixture.run(HealthTimeout + milliseconds(200));
+    CHECK(fixture.selector.desiredLinks().size() >= 2);
+    fixture.linkUp(Far);
+    fixture.run(milliseconds(100));
+    CHECK(fixture.selector.source() == Near);
+    CHECK(fixture.selector.followed() == std::vector<ReplicaId>{Near, Far});
+    fixture.selector.onDirectoryComplete(Far);
+    fixture.run(milliseconds(100));
+    CHECK(fixture.selector.source() == Far);
+    // The failover takes less than 3 s, the shortest time in which a drain must be in force, with a replica list each 1 s.
+    CHECK(fixture.now - Start < milliseconds(1000) + HealthTimeout);
+    CHECK(fixture.selector.desiredLinks().contains(Near));
+    CHECK(fixture.selector.desiredLinks().contains(Far));
 }
 
-TEST_CASE("a killed replica that is back at once is waited for, and a source without any quorum is kept")
+TEST_CASE("a killed source that is back at once is waited for, and a source is kept while no replica has a quorum")
 {
-    Chooser chooser;
-    chooser.choice.know(threePlaces(), {});
-    chooser.linkUp(Near);
-    chooser.choice.completed(Near);
-    chooser.run(milliseconds(500));
-    chooser.lose(Near);
-    chooser.run(SourceGrace - milliseconds(100));
-    CHECK(chooser.choice.wanted() == std::set<ReplicaId>{Near});
-    chooser.linkUp(Near);
-    chooser.run(milliseconds(50));
-    CHECK(chooser.choice.followed() == std::vector<ReplicaId>{Near});
+    SelectorFixture fixture;
+    fixture.selector.setReplicas(threePlaces(), {});
+    fixture.linkUp(Near);
+    fixture.selector.onDirectoryComplete(Near);
+    fixture.run(milliseconds(500));
+    fixture.lose(Near);
+    fixture.run(SourceGrace - milliseconds(100));
+    CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{Near});
+    fixture.linkUp(Near);
+    fixture.run(milliseconds(50));
+    CHECK(fixture.selector.followed() == std::vector<ReplicaId>{Near});
     // No replica has a quorum any more.
-    chooser.healthy.clear();
-    chooser.run(seconds(5));
+    fixture.healthy.clear();
+    fixture.run(seconds(5));
     for (const ReplicaId replica : {Far, Farther}) {
-        chooser.choice.linked(chooser.now, replica);
+        fixture.selector.onLinkUp(fixture.now, replica);
     }
-    chooser.run(seconds(5));
-    CHECK(chooser.choice.source() == Near);
-    CHECK(chooser.choice.wanted().size() == 3);
+    fixture.run(seconds(5));
+    CHECK(fixture.selector.source() == Near);
+    CHECK(fixture.selector.desiredLinks().size() == 3);
 }
 
-TEST_CASE("balancers that moved away return one after the other")
+TEST_CASE("balancers fail back to a recovered replica one after the other")
 {
     constexpr std::uint64_t Balancers = 60;
     std::map<std::int64_t, int> perSecond;
     for (std::uint64_t self = 1; self <= Balancers; ++self) {
-        Chooser chooser(self);
-        chooser.choice.know(threePlaces(), {});
-        chooser.linkUp(Far);
-        chooser.choice.completed(Far);
-        chooser.run(seconds(1));
-        REQUIRE(chooser.choice.source() == Far);
-        chooser.linkUp(Near);
-        const TimePoint back = chooser.now;
-        chooser.choice.completed(Near);
-        while (chooser.choice.source() != Near) {
-            chooser.run(milliseconds(50));
-            REQUIRE(chooser.now - back <= MaxFailbackDelay + milliseconds(100));
+        SelectorFixture fixture(self);
+        fixture.selector.setReplicas(threePlaces(), {});
+        fixture.linkUp(Far);
+        fixture.selector.onDirectoryComplete(Far);
+        fixture.run(seconds(1));
+        REQUIRE(fixture.selector.source() == Far);
+        fixture.linkUp(Near);
+        const TimePoint recovered = fixture.now;
+        fixture.selector.onDirectoryComplete(Near);
+        while (fixture.selector.source() != Near) {
+            fixture.run(milliseconds(50));
+            REQUIRE(fixture.now - recovered <= MaxFailbackDelay + milliseconds(100));
         }
-        ++perSecond[std::chrono::duration_cast<seconds>(chooser.now - back).count()];
+        ++perSecond[std::chrono::duration_cast<seconds>(fixture.now - recovered).count()];
     }
     for (const auto &[second, moves] : perSecond) {
         CHECK(moves < 30);
     }
 }
 
-TEST_CASE("a replica that was removed is neither dialled nor followed any longer")
+TEST_CASE("a removed replica is neither dialled nor followed")
 {
-    Chooser chooser;
-    chooser.choice.know(threePlaces(), {});
-    chooser.linkUp(Near);
-    chooser.choice.completed(Near);
-    chooser.run(milliseconds(500));
+    SelectorFixture fixture;
+    fixture.selector.setReplicas(threePlaces(), {});
+    fixture.linkUp(Near);
+    fixture.selector.onDirectoryComplete(Near);
+    fixture.run(milliseconds(500));
     const std::vector<ReplicaPlace> rest = {{Far, Elsewhere}, {Farther, Elsewhere}};
-    chooser.choice.know(rest, {});
-    chooser.run(milliseconds(50));
-    CHECK_FALSE(chooser.choice.wanted().contains(Near));
-    chooser.lose(Near);
-    chooser.run(seconds(2));
-    CHECK(chooser.choice.wanted() == std::set<ReplicaId>{Far, Farther});
+    fixture.selector.setReplicas(rest, {});
+    fixture.run(milliseconds(50));
+    CHECK_FALSE(fixture.selector.desiredLinks().contains(Near));
+    fixture.lose(Near);
+    fixture.run(seconds(2));
+    CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{Far, Farther});
 }
 
-TEST_CASE("a target is sent to one replica, of its data centre if one can be reached, and targets spread over equals")
+TEST_CASE("a target announces itself to one replica, of its data centre if there is one, and targets spread over the others")
 {
     std::map<ReplicaId, int> counts;
     for (std::uint64_t key = 1; key <= 400; ++key) {
         TargetRecord record = targetOf(key);
         record.dataCentre = Elsewhere;
-        std::set<ReplicaId> named;
-        int told = 0;
+        std::set<ReplicaId> replicas;
+        int announced = 0;
         for (record.sequence = 1; record.sequence <= 40; ++record.sequence) {
             if (const auto replica = announcementReplica(record, threePlaces())) {
-                named.insert(*replica);
-                ++told;
+                replicas.insert(*replica);
+                ++announced;
             }
         }
-        CHECK(told == 10);
-        REQUIRE(named.size() == 1);
-        ++counts[*named.begin()];
+        CHECK(announced == 10);
+        REQUIRE(replicas.size() == 1);
+        ++counts[*replicas.begin()];
     }
     CHECK(counts.contains(Near) == false);
     CHECK(counts[Far] > 150);
     CHECK(counts[Farther] > 150);
     TargetRecord alone = targetOf(1);
     alone.dataCentre = DataCentreId{9};
-    int told = 0;
+    int announced = 0;
     for (alone.sequence = 1; alone.sequence <= 4; ++alone.sequence) {
-        told += announcementReplica(alone, threePlaces()) ? 1 : 0;
+        announced += announcementReplica(alone, threePlaces()) ? 1 : 0;
         CHECK_FALSE(announcementReplica(alone, {}));
     }
-    CHECK(told == 1);
+    CHECK(announced == 1);
 }
--- a/tests/test_steering.cpp
+++ b/tests/test_steering.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Steering: where packets go, and what is held against targets.
+// Flow steering: where packets go, and when targets become suspect. Stall detection and held packets.
 #include "held_packets.h"
 #include "standstill_watch.h"
 #include "steering_balancer.h"
@@ -13,7 +13,7 @@
 
 using Balancer = SteeringBalancer;
 
-TEST_CASE("an opening packet goes to a local target, and its repetition to the same one")
+TEST_CASE("an opening packet goes to a local target, and a duplicate of it to the same one")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
@@ -34,7 +34,7 @@
     }
 }
 
-TEST_CASE("new flows go to the target with less under way")
+TEST_CASE("new flows go to the target with fewer requests in progress")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
@@ -45,7 +45,7 @@
     }
 }
 
-TEST_CASE("a later copy goes to another target, and the silent one is left out until it shows life")
+TEST_CASE("a retransmitted opening goes to another target, and the silent one gets no new flows until it shows a sign of life")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
@@ -64,7 +64,7 @@
     CHECK(chosen);
 }
 
-TEST_CASE("a later copy right behind the first says nothing about the target")
+TEST_CASE("a retransmitted opening that arrives right behind the first does not make the target suspect")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1, 0);
@@ -73,45 +73,45 @@
     CHECK(behind.reason == SteeringReason::RepeatedOpening);
     CHECK(behind.target == first.target);
     CHECK(balancer.steering.suspicions() == 0);
-    // The next copy comes when it should.
+    // The next copy arrives with the caller's usual delay.
     balancer.now += milliseconds(400);
     CHECK(balancer.open(1, 2).reason == SteeringReason::OtherTarget);
 }
 
-TEST_CASE("an opening packet that waited until its next copy is dropped, other packets are not")
+TEST_CASE("an opening packet that was queued until its retransmission is due is dropped, other packets are not")
 {
     Balancer balancer;
     FlowPacket opening = Balancer::packet(1);
     opening.opening = true;
-    opening.waited = milliseconds(200);
+    opening.maxQueueTime = milliseconds(200);
     const SteeringDecision dropped = balancer.steering.steer(balancer.now, opening);
     CHECK(dropped.action == SteeringAction::Drop);
     CHECK(dropped.reason == SteeringReason::LateOpening);
-    // The pause after the first copy is longer.
+    // The caller waits longer after the second transmission than after the first.
     opening.copy = 1;
     CHECK(balancer.steering.steer(balancer.now, opening).action == SteeringAction::Forward);
-    opening.waited = milliseconds(400);
+    opening.maxQueueTime = milliseconds(400);
     CHECK(balancer.steering.steer(balancer.now, opening).reason == SteeringReason::LateOpening);
     FlowPacket later = Balancer::packet(1);
     later.token = SteeringTargets::tokenOf(TargetKey{101});
-    later.waited = seconds(3);
+    later.maxQueueTime = seconds(3);
     CHECK(balancer.steering.steer(balancer.now, later).target == TargetKey{101});
 }
 
-TEST_CASE("a standstill tells how long what waited is old, until the queue is empty")
+TEST_CASE("a stall bounds the queue time of packets until the queue is empty")
 {
-    StallDetector watch(Start);
-    watch.turn(Start + milliseconds(50));
-    CHECK(watch.waited() == Duration{0});
-    watch.turn(Start + milliseconds(350));
-    CHECK(watch.waited() == milliseconds(300));
-    watch.turn(Start + milliseconds(360));
-    CHECK(watch.waited() == milliseconds(300));
-    watch.queueEmptied();
-    CHECK(watch.waited() == Duration{0});
+    StallDetector detector(Start);
+    detector.tick(Start + milliseconds(50));
+    CHECK(detector.maxQueueTime() == Duration{0});
+    detector.tick(Start + milliseconds(350));
+    CHECK(detector.maxQueueTime() == milliseconds(300));
+    detector.tick(Start + milliseconds(360));
+    CHECK(detector.maxQueueTime() == milliseconds(300));
+    detector.queueEmptied();
+    CHECK(detector.maxQueueTime() == Duration{0});
 }
 
-TEST_CASE("an opening packet is held no longer than until its next copy")
+TEST_CASE("an opening packet is held no longer than until its retransmission")
 {
     FlowPacket packet = Balancer::packet(1);
     CHECK(holdTime(packet) == MaxHoldTime);
@@ -138,12 +138,12 @@
     CHECK(balancer.steering.openTimes().quantile(1) < milliseconds(12));
     CHECK(balancer.steering.answerTimes().quantile(1) >= milliseconds(30));
     CHECK(balancer.steering.answerTimes().quantile(1) < milliseconds(33));
-    // A flow whose opening packet came to another balancer says nothing about its opening.
+    // Without its opening packet, a flow adds no opening time.
     balancer.follow(2, opened.token, 100, 500);
     CHECK(balancer.steering.openTimes().count() == 1);
 }
 
-TEST_CASE("a removed route is forgotten once its flows are")
+TEST_CASE("a removed route is forgotten once its flows are forgotten")
 {
     Balancer balancer;
     balancer.steering.apply(tableOf(2, false));
@@ -158,14 +158,14 @@
     CHECK(balancer.steering.droppedRoutes() == 0);
 }
 
-TEST_CASE("a flow that two targets answered stays at the one where it opened")
+TEST_CASE("a flow that two targets answered stays at the target where it is open")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
     balancer.now += milliseconds(200);
     const SteeringDecision second = balancer.open(1, 1);
     REQUIRE(second.target != first.target);
-    // The first target's answer was late but came first; then the other one's changes the token.
+    // The first target's answer is late but arrives before the second one's, which then changes the token.
     CHECK(balancer.follow(1, first.token, 1, 1, 0).target == first.target);
     const SteeringDecision data = balancer.follow(1, second.token, 1, 1);
     CHECK(data.target == first.target);
@@ -173,7 +173,7 @@
     CHECK(data.reason == SteeringReason::PinnedFlow);
 }
 
-TEST_CASE("a late copy of an opening packet does not move an open flow")
+TEST_CASE("a late retransmission of an opening packet does not move an open flow")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
@@ -191,7 +191,7 @@
     CHECK(balancer.follow(8, FlowToken{12345}, 5, 6).action == SteeringAction::Drop);
 }
 
-TEST_CASE("data that is sent again without a sign of the target makes it suspect, and resets nothing")
+TEST_CASE("retransmitted data without a sign of life makes the target suspect, and resets no flow")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
@@ -204,7 +204,7 @@
     }
 }
 
-TEST_CASE("a draining target keeps its flows and gets no new ones; one that left loses them")
+TEST_CASE("a draining target keeps its flows and gets no new ones; flows of a target that left are reset")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
@@ -224,14 +224,14 @@
     const SteeringDecision over = balancer.follow(1, first.token, 4, 77);
     CHECK(over.action == SteeringAction::Reset);
     CHECK(over.resetSequence == 77);
-    // A late announcement revives nothing.
+    // A late announcement does not bring a target back that left.
     record.phase = TargetPhase::Serving;
     record.sequence = 9;
     balancer.take(record);
     CHECK(balancer.follow(2, first.token, 4, 77).action == SteeringAction::Reset);
 }
 
-TEST_CASE("targets that no replica vouches for come last, and a lost replica alone changes nothing")
+TEST_CASE("targets that no replica reports as alive are chosen last, and losing the only replica changes nothing")
 {
     Balancer balancer;
     balancer.take(targetOf(101, "quotes"), true);
@@ -245,7 +245,7 @@
     CHECK(balancer.open(20).action == SteeringAction::Forward);
 }
 
-TEST_CASE("a dropped route resets its flows and spares the others; an unknown one resets openings only")
+TEST_CASE("a removed route resets its own flows only; an unknown route resets opening packets only")
 {
     Balancer balancer;
     CHECK(balancer.steering.apply(tableOf(2, false)));
@@ -255,13 +255,13 @@
     CHECK(balancer.steering.steer(balancer.now, decks).reason == SteeringReason::RouteDropped);
     CHECK(balancer.open(2, 0, DeckRoute).reason == SteeringReason::NoRoute);
     CHECK(balancer.open(3).action == SteeringAction::Forward);
-    // Another balancer may know a newer table than this one, so an open flow is not cut.
+    // Another balancer may have opened the flow by a newer table, so an open flow on an unknown route is forwarded.
     FlowPacket newer = Balancer::packet(4, {0xc6120009, 443});
     newer.token = SteeringTargets::tokenOf(TargetKey{201});
     CHECK(balancer.steering.steer(balancer.now, newer).action == SteeringAction::Forward);
 }
 
-TEST_CASE("a balancer that was just started holds what it does not know")
+TEST_CASE("a balancer that has just started holds packets of unknown routes and targets")
 {
     FlowSteering steering(Here);
     FlowPacket opening = Balancer::packet(1);
@@ -277,7 +277,7 @@
     CHECK(steering.steer(Start, later).action == SteeringAction::Drop);
 }
 
-TEST_CASE("held packets come out in order, the old ones and those beyond the limit do not")
+TEST_CASE("held packets are released in order, except expired ones and those beyond the capacity")
 {
     PacketHoldQueue held;
     const auto packet = [](std::size_t number) {
@@ -301,7 +301,7 @@
     CHECK(held.takeDropped() == 3);
 }
 
-TEST_CASE("a packet that is held again is held no longer than at first")
+TEST_CASE("a packet that is held again keeps its expiry")
 {
     PacketHoldQueue held;
     held.hold({Start + milliseconds(100), Bytes{1}});
@@ -315,7 +315,7 @@
     CHECK(held.takeDropped() == 1);
 }
 
-TEST_CASE("a reset is never answered by a reset")
+TEST_CASE("a reset is never answered with a reset")
 {
     Balancer balancer;
     balancer.steering.apply(tableOf(2, false));
@@ -324,7 +324,7 @@
     CHECK(balancer.steering.steer(balancer.now, reset).action == SteeringAction::Drop);
 }
 
-TEST_CASE("flows that end or rest no longer count as load")
+TEST_CASE("flows that are closed or idle do not count as load")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
--- a/tests/test_steering_choice.cpp
+++ b/tests/test_steering_choice.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Steering: which targets new flows may go to, and how they spread over them.
+// Target selection: which targets new flows may go to, and how flows spread over them.
 #include "steering_balancer.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 using Balancer = SteeringBalancer;
 
-TEST_CASE("a drained data centre gets no new flows, and keeps those that are open")
+TEST_CASE("a drained data centre gets no new flows, and keeps its open flows")
 {
     Balancer balancer;
     const SteeringDecision open = balancer.open(1);
@@ -24,12 +24,12 @@
         CHECK(balancer.open(caller).target == TargetKey{103});
     }
     CHECK(balancer.follow(1, open.token, 110, 2).target == open.target);
-    // The first copy of an opening that was under way, sent again, and a later one.
+    // A duplicate and a retransmission of an opening packet that was forwarded before the drain.
     CHECK(balancer.open(2).target == TargetKey{103});
     CHECK(balancer.open(2, 1).target == TargetKey{103});
 }
 
-TEST_CASE("a late copy of an opening does not take an open flow away from a target that takes no new ones")
+TEST_CASE("a late retransmission of an opening packet does not take an open flow away from a target that accepts no new flows")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
@@ -46,7 +46,7 @@
     CHECK(balancer.follow(1, first.token, 210, 3).target == first.target);
 }
 
-TEST_CASE("a caller hears at once that every data centre of a service is drained")
+TEST_CASE("an opening packet is reset at once if every data centre of a service is drained")
 {
     Balancer balancer;
     balancer.steering.setDrained(balancer.now, std::array{Here, There});
@@ -57,9 +57,9 @@
     CHECK(balancer.open(1).action == SteeringAction::Forward);
 }
 
-TEST_CASE("a target whose warm-up is limited gets no new flow before it is warm, from any number of balancers")
+TEST_CASE("a target whose warm-up is limited gets no new flows before its warm-up ends, from any number of balancers")
 {
-    // The limit is for all balancers together, and none knows how many others there are or whether they hear it.
+    // The limit applies to all balancers together, and none knows how many others there are or whether they know the target.
     constexpr int Balancers = 300;
     RoutingTable table = tableOf(2);
     table.warmups = {{seconds(2), true}};
@@ -87,7 +87,7 @@
     CHECK(given > 0);
 }
 
-TEST_CASE("without a figure a cold target is used, and one that is limited and alone is refused at once")
+TEST_CASE("a cold target is used if no warm-up limit is set; with a limit, flows are reset at once if it is the only target")
 {
     Balancer balancer;
     TargetRecord cold = targetOf(201, "decks");
@@ -103,7 +103,7 @@
     CHECK(balancer.open(3, 0, DeckRoute).target == TargetKey{201});
 }
 
-TEST_CASE("targets of a data centre that is taken back warm up from the order on, whatever they announced")
+TEST_CASE("targets of a data centre warm up from the end of its drain on, whatever they announce")
 {
     Balancer balancer;
     RoutingTable table = tableOf(2);
@@ -111,7 +111,7 @@
     balancer.steering.apply(table);
     balancer.steering.setDrained(balancer.now, std::array{Here});
     balancer.steering.setDrained(balancer.now, {});
-    TargetRecord record = targetOf(101, "quotes"); // Announced before it heard of the order.
+    TargetRecord record = targetOf(101, "quotes"); // Announced before it learned of the end of the drain.
     record.sequence = 2;
     balancer.take(record);
     balancer.now += seconds(3) - milliseconds(1);
@@ -122,7 +122,7 @@
     CHECK(balancer.open(20).target != TargetKey{103});
 }
 
-TEST_CASE("a target that starts again under its key is taken, and late news of its former lifetime is not")
+TEST_CASE("a target that restarts under its key replaces its former lifetime, and late announcements of that one are ignored")
 {
     Balancer balancer;
     TargetRecord record = targetOf(201, "decks");
@@ -141,10 +141,10 @@
     CHECK(balancer.open(2, 0, DeckRoute).address.port == 9090);
 }
 
-// Many balancers, each of which sees a small part of the load, and a target that has just started: its counts are the
-// lowest at all of them. 31 balancers of a data centre with 40 targets, 500 new flows a second (the largest of our
-// deployments has as many an entry VM and target), over half a second.
-TEST_CASE("a target that has just started draws at most twice its share of the new flows of many balancers")
+// Guards against a herd effect: each of many balancers sees a small part of the load, so the counts of a target that has
+// just started are the lowest at all of them. 31 balancers of a data centre, 40 targets and 500 new flows a second for half a
+// second; the largest deployment has this ratio of flows to entry VMs and targets.
+TEST_CASE("a target that has just started gets at most twice its share of the new flows of many balancers")
 {
     constexpr std::uint32_t Balancers = 31;
     constexpr std::uint64_t Targets = 40;
@@ -167,5 +167,5 @@
         drawn += balancers[i % Balancers].open(1'000 + static_cast<std::uint32_t>(i)).target == TargetKey{999} ? 1 : 0;
     }
     CHECK(drawn > 0);
-    CHECK(drawn <= 3 * NewFlows / (Targets + 1)); // Twice, and as much again for the luck of the hash.
+    CHECK(drawn <= 3 * NewFlows / (Targets + 1)); // Twice its share, and one more share for the variance of the hash.
 }
