--- a/tests/steering_balancer.h
+++ b/tests/steering_balancer.h
@@ -6,15 +6,15 @@
 
 namespace Robinrail {
 
-inline constexpr DataCentreId Here{1};
-inline constexpr DataCentreId There{2};
+inline constexpr DataCentreId LocalDataCentre{1};
+inline constexpr DataCentreId RemoteDataCentre{2};
 inline constexpr ReplicaId FirstReplica{11};
 inline constexpr ReplicaId SecondReplica{12};
 inline constexpr Endpoint QuoteRoute{0xc6120001, 443};
 inline constexpr Endpoint DeckRoute{0xc6120002, 443};
 inline const TimePoint Start(std::chrono::hours(1));
 
-inline TargetRecord targetOf(std::uint64_t key, const std::string &service, DataCentreId dataCentre = Here)
+inline TargetRecord targetOf(std::uint64_t key, const std::string &service, DataCentreId dataCentre = LocalDataCentre)
 {
     TargetRecord record;
     record.key = TargetKey{key};
@@ -40,7 +40,7 @@
 
 // A balancer with two local and one remote target for quotes, and one local target for decks.
 struct SteeringBalancer {
-    FlowSteering steering{Here};
+    FlowSteering steering{LocalDataCentre};
     TimePoint now = Start;
 
     SteeringBalancer()
@@ -49,7 +49,7 @@
         steering.setInformed();
         take(targetOf(101, "quotes"));
         take(targetOf(102, "quotes"));
-        take(targetOf(103, "quotes", There));
+        take(targetOf(103, "quotes", RemoteDataCentre));
         take(targetOf(201, "decks"));
     }
 
@@ -75,7 +75,7 @@
     }
 
     // Steers a further packet of a flow, which carries data unless `bytes` is 0.
-    SteeringDecision follow(std::uint32_t caller, FlowToken token, std::uint32_t sequence, std::uint32_t acknowledged, std::uint16_t bytes = 100)
+    SteeringDecision sendPacket(std::uint32_t caller, FlowToken token, std::uint32_t sequence, std::uint32_t acknowledged, std::uint16_t bytes = 100)
     {
         FlowPacket later = packet(caller);
         later.token = token;
--- a/tests/test_replica_choice.cpp
+++ b/tests/test_replica_choice.cpp
@@ -11,31 +11,31 @@
 
 namespace {
 
-constexpr ReplicaId Near{21};
-constexpr ReplicaId Far{22};
-constexpr ReplicaId Farther{23};
-constexpr DataCentreId Home{1};
-constexpr DataCentreId Elsewhere{2};
+constexpr ReplicaId LocalReplica{21};
+constexpr ReplicaId RemoteReplica{22};
+constexpr ReplicaId OtherRemoteReplica{23};
+constexpr DataCentreId LocalDataCentre{1};
+constexpr DataCentreId RemoteDataCentre{2};
 const TimePoint Start(std::chrono::hours(1));
 
 TargetRecord targetOf(std::uint64_t key)
 {
     TargetRecord record;
     record.key = TargetKey{key};
-    record.dataCentre = Home;
+    record.dataCentre = LocalDataCentre;
     record.sequence = 1;
     return record;
 }
 
-std::vector<ReplicaPlace> threePlaces()
+std::vector<ReplicaPlace> threeReplicas()
 {
-    return {{Far, Elsewhere}, {Near, Home}, {Farther, Elsewhere}};
+    return {{RemoteReplica, RemoteDataCentre}, {LocalReplica, LocalDataCentre}, {OtherRemoteReplica, RemoteDataCentre}};
 }
 
 // A selector that is updated every 50 ms, with healthy replicas that confirm their quorum at each step.
 struct SelectorFixture {
     explicit SelectorFixture(std::uint64_t self = 7)
-        : selector(Home, self)
+        : selector(LocalDataCentre, self)
     {
     }
 
@@ -73,49 +73,49 @@
 {
     for (std::uint64_t self = 1; self <= 50; ++self) {
         SelectorFixture fixture(self);
-        const std::vector<ReplicaId> seeds = {Far, Farther};
+        const std::vector<ReplicaId> seeds = {RemoteReplica, OtherRemoteReplica};
         fixture.selector.setReplicas({}, seeds);
         fixture.selector.update(fixture.now);
         REQUIRE(fixture.selector.desiredLinks().size() == 1);
         const ReplicaId first = *fixture.selector.desiredLinks().begin();
         fixture.linkUp(first);
-        fixture.selector.setReplicas(threePlaces(), seeds);
+        fixture.selector.setReplicas(threeReplicas(), seeds);
         fixture.selector.update(fixture.now);
-        CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{first, Near});
+        CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{first, LocalReplica});
         CHECK(fixture.selector.followed().empty());
         fixture.run(milliseconds(20));
-        fixture.linkUp(Near);
+        fixture.linkUp(LocalReplica);
         fixture.run(milliseconds(50));
-        CHECK(fixture.selector.followed() == std::vector<ReplicaId>{Near});
-        fixture.selector.onDirectoryComplete(Near);
+        CHECK(fixture.selector.followed() == std::vector<ReplicaId>{LocalReplica});
+        fixture.selector.onDirectoryComplete(LocalReplica);
         fixture.run(milliseconds(50));
-        CHECK(fixture.selector.source() == Near);
-        CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{Near});
+        CHECK(fixture.selector.source() == LocalReplica);
+        CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{LocalReplica});
     }
 }
 
 TEST_CASE("a balancer that starts while no replica is up dials one more each 50 ms and follows the first that is up")
 {
     SelectorFixture fixture;
-    const std::vector<ReplicaId> seeds = {Near, Far, Farther};
+    const std::vector<ReplicaId> seeds = {LocalReplica, RemoteReplica, OtherRemoteReplica};
     fixture.selector.setReplicas({}, seeds);
     fixture.run(milliseconds(50));
     CHECK(fixture.selector.desiredLinks().size() == 1);
     fixture.run(milliseconds(100));
     CHECK(fixture.selector.desiredLinks().size() == 3);
     // The replica is up but has no quorum yet.
-    fixture.selector.onLinkUp(fixture.now, Farther);
+    fixture.selector.onLinkUp(fixture.now, OtherRemoteReplica);
     fixture.run(FirstChoiceGrace + milliseconds(50));
-    CHECK(fixture.selector.followed() == std::vector<ReplicaId>{Farther});
-    fixture.selector.onDirectoryComplete(Farther);
+    CHECK(fixture.selector.followed() == std::vector<ReplicaId>{OtherRemoteReplica});
+    fixture.selector.onDirectoryComplete(OtherRemoteReplica);
     fixture.run(milliseconds(50));
-    CHECK(fixture.selector.source() == Farther);
+    CHECK(fixture.selector.source() == OtherRemoteReplica);
 }
 
 TEST_CASE("a replica that accepted the connection is waited for, but not beyond the handshake grace")
 {
     SelectorFixture fixture;
-    const std::vector<ReplicaId> seeds = {Near, Far, Farther};
+    const std::vector<ReplicaId> seeds = {LocalReplica, RemoteReplica, OtherRemoteReplica};
     fixture.selector.setReplicas({}, seeds);
     fixture.run(milliseconds(50));
     REQUIRE(fixture.selector.desiredLinks().size() == 1);
@@ -135,49 +135,49 @@
 TEST_CASE("a balancer leaves a replica that lost its quorum, and keeps its source until another directory is complete")
 {
     SelectorFixture fixture;
-    fixture.selector.setReplicas(threePlaces(), {});
-    fixture.linkUp(Near);
-    fixture.selector.onDirectoryComplete(Near);
+    fixture.selector.setReplicas(threeReplicas(), {});
+    fixture.linkUp(LocalReplica);
+    fixture.selector.onDirectoryComplete(LocalReplica);
     fixture.run(milliseconds(500));
-    REQUIRE(fixture.selector.source() == Near);
+    REQUIRE(fixture.selector.source() == LocalReplica);
     // The replica is cut off from the other replicas but still connected to this balancer.
-    fixture.healthy.erase(Near);
+    fixture.healthy.erase(LocalReplica);
     fixture.run(HealthTimeout + milliseconds(200));
     CHECK(fixture.selector.desiredLinks().size() >= 2);
-    fixture.linkUp(Far);
+    fixture.linkUp(RemoteReplica);
     fixture.run(milliseconds(100));
-    CHECK(fixture.selector.source() == Near);
-    CHECK(fixture.selector.followed() == std::vector<ReplicaId>{Near, Far});
-    fixture.selector.onDirectoryComplete(Far);
+    CHECK(fixture.selector.source() == LocalReplica);
+    CHECK(fixture.selector.followed() == std::vector<ReplicaId>{LocalReplica, RemoteReplica});
+    fixture.selector.onDirectoryComplete(RemoteReplica);
     fixture.run(milliseconds(100));
-    CHECK(fixture.selector.source() == Far);
+    CHECK(fixture.selector.source() == RemoteReplica);
     // The failover takes less than 3 s, the shortest time in which a drain must be in force, with a replica list each 1 s.
     CHECK(fixture.now - Start < milliseconds(1000) + HealthTimeout);
-    CHECK(fixture.selector.desiredLinks().contains(Near));
-    CHECK(fixture.selector.desiredLinks().contains(Far));
+    CHECK(fixture.selector.desiredLinks().contains(LocalReplica));
+    CHECK(fixture.selector.desiredLinks().contains(RemoteReplica));
 }
 
 TEST_CASE("a killed source that is back at once is waited for, and a source is kept while no replica has a quorum")
 {
     SelectorFixture fixture;
-    fixture.selector.setReplicas(threePlaces(), {});
-    fixture.linkUp(Near);
-    fixture.selector.onDirectoryComplete(Near);
+    fixture.selector.setReplicas(threeReplicas(), {});
+    fixture.linkUp(LocalReplica);
+    fixture.selector.onDirectoryComplete(LocalReplica);
     fixture.run(milliseconds(500));
-    fixture.lose(Near);
+    fixture.lose(LocalReplica);
     fixture.run(SourceGrace - milliseconds(100));
-    CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{Near});
-    fixture.linkUp(Near);
+    CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{LocalReplica});
+    fixture.linkUp(LocalReplica);
     fixture.run(milliseconds(50));
-    CHECK(fixture.selector.followed() == std::vector<ReplicaId>{Near});
+    CHECK(fixture.selector.followed() == std::vector<ReplicaId>{LocalReplica});
     // No replica has a quorum any more.
     fixture.healthy.clear();
     fixture.run(seconds(5));
-    for (const ReplicaId replica : {Far, Farther}) {
+    for (const ReplicaId replica : {RemoteReplica, OtherRemoteReplica}) {
         fixture.selector.onLinkUp(fixture.now, replica);
     }
     fixture.run(seconds(5));
-    CHECK(fixture.selector.source() == Near);
+    CHECK(fixture.selector.source() == LocalReplica);
     CHECK(fixture.selector.desiredLinks().size() == 3);
 }
 
@@ -187,15 +187,15 @@
     std::map<std::int64_t, int> perSecond;
     for (std::uint64_t self = 1; self <= Balancers; ++self) {
         SelectorFixture fixture(self);
-        fixture.selector.setReplicas(threePlaces(), {});
-        fixture.linkUp(Far);
-        fixture.selector.onDirectoryComplete(Far);
+        fixture.selector.setReplicas(threeReplicas(), {});
+        fixture.linkUp(RemoteReplica);
+        fixture.selector.onDirectoryComplete(RemoteReplica);
         fixture.run(seconds(1));
-        REQUIRE(fixture.selector.source() == Far);
-        fixture.linkUp(Near);
+        REQUIRE(fixture.selector.source() == RemoteReplica);
+        fixture.linkUp(LocalReplica);
         const TimePoint recovered = fixture.now;
-        fixture.selector.onDirectoryComplete(Near);
-        while (fixture.selector.source() != Near) {
+        fixture.selector.onDirectoryComplete(LocalReplica);
+        while (fixture.selector.source() != LocalReplica) {
             fixture.run(milliseconds(50));
             REQUIRE(fixture.now - recovered <= MaxFailbackDelay + milliseconds(100));
         }
@@ -209,17 +209,17 @@
 TEST_CASE("a removed replica is neither dialled nor followed")
 {
     SelectorFixture fixture;
-    fixture.selector.setReplicas(threePlaces(), {});
-    fixture.linkUp(Near);
-    fixture.selector.onDirectoryComplete(Near);
+    fixture.selector.setReplicas(threeReplicas(), {});
+    fixture.linkUp(LocalReplica);
+    fixture.selector.onDirectoryComplete(LocalReplica);
     fixture.run(milliseconds(500));
-    const std::vector<ReplicaPlace> rest = {{Far, Elsewhere}, {Farther, Elsewhere}};
+    const std::vector<ReplicaPlace> rest = {{RemoteReplica, RemoteDataCentre}, {OtherRemoteReplica, RemoteDataCentre}};
     fixture.selector.setReplicas(rest, {});
     fixture.run(milliseconds(50));
-    CHECK_FALSE(fixture.selector.desiredLinks().contains(Near));
-    fixture.lose(Near);
+    CHECK_FALSE(fixture.selector.desiredLinks().contains(LocalReplica));
+    fixture.lose(LocalReplica);
     fixture.run(seconds(2));
-    CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{Far, Farther});
+    CHECK(fixture.selector.desiredLinks() == std::set<ReplicaId>{RemoteReplica, OtherRemoteReplica});
 }
 
 TEST_CASE("a target announces itself to one replica, of its data centre if there is one, and targets spread over the others")
@@ -227,11 +227,11 @@
     std::map<ReplicaId, int> counts;
     for (std::uint64_t key = 1; key <= 400; ++key) {
         TargetRecord record = targetOf(key);
-        record.dataCentre = Elsewhere;
+        record.dataCentre = RemoteDataCentre;
         std::set<ReplicaId> replicas;
         int announced = 0;
         for (record.sequence = 1; record.sequence <= 40; ++record.sequence) {
-            if (const auto replica = announcementReplica(record, threePlaces())) {
+            if (const auto replica = announcementReplica(record, threeReplicas())) {
                 replicas.insert(*replica);
                 ++announced;
             }
@@ -240,14 +240,14 @@
         REQUIRE(replicas.size() == 1);
         ++counts[*replicas.begin()];
     }
-    CHECK(counts.contains(Near) == false);
-    CHECK(counts[Far] > 150);
-    CHECK(counts[Farther] > 150);
+    CHECK(counts.contains(LocalReplica) == false);
+    CHECK(counts[RemoteReplica] > 150);
+    CHECK(counts[OtherRemoteReplica] > 150);
     TargetRecord alone = targetOf(1);
     alone.dataCentre = DataCentreId{9};
     int announced = 0;
     for (alone.sequence = 1; alone.sequence <= 4; ++alone.sequence) {
-        announced += announcementReplica(alone, threePlaces()) ? 1 : 0;
+        announced += announcementReplica(alone, threeReplicas()) ? 1 : 0;
         CHECK_FALSE(announcementReplica(alone, {}));
     }
     CHECK(announced == 1);
--- a/tests/test_steering.cpp
+++ b/tests/test_steering.cpp
@@ -38,7 +38,7 @@
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
-    balancer.follow(1, first.token, 10, 1);
+    balancer.sendPacket(1, first.token, 10, 1);
     for (std::uint32_t caller = 2; caller < 8; ++caller) {
         const SteeringDecision next = balancer.open(caller);
         CHECK(next.target != first.target);
@@ -56,7 +56,7 @@
     for (std::uint32_t caller = 2; caller < 10; ++caller) {
         CHECK(balancer.open(caller).target != first.target);
     }
-    balancer.follow(50, first.token, 1, 1, 0);
+    balancer.sendPacket(50, first.token, 1, 1, 0);
     bool chosen = false;
     for (std::uint32_t caller = 60; caller < 70; ++caller) {
         chosen = chosen || balancer.open(caller).target == first.target;
@@ -128,18 +128,18 @@
     Balancer balancer;
     const SteeringDecision opened = balancer.open(1);
     balancer.now += milliseconds(10);
-    balancer.follow(1, opened.token, 100, 500);
+    balancer.sendPacket(1, opened.token, 100, 500);
     CHECK(balancer.steering.openTimes().count() == 1);
     CHECK(balancer.steering.answerTimes().count() == 0);
     balancer.now += milliseconds(30);
-    balancer.follow(1, opened.token, 200, 900, 0);
+    balancer.sendPacket(1, opened.token, 200, 900, 0);
     REQUIRE(balancer.steering.answerTimes().count() == 1);
     CHECK(balancer.steering.openTimes().quantile(1) >= milliseconds(10));
     CHECK(balancer.steering.openTimes().quantile(1) < milliseconds(12));
     CHECK(balancer.steering.answerTimes().quantile(1) >= milliseconds(30));
     CHECK(balancer.steering.answerTimes().quantile(1) < milliseconds(33));
     // Without its opening packet, a flow adds no opening time.
-    balancer.follow(2, opened.token, 100, 500);
+    balancer.sendPacket(2, opened.token, 100, 500);
     CHECK(balancer.steering.openTimes().count() == 1);
 }
 
@@ -166,8 +166,8 @@
     const SteeringDecision second = balancer.open(1, 1);
     REQUIRE(second.target != first.target);
     // The first target's answer is late but arrives before the second one's, which then changes the token.
-    CHECK(balancer.follow(1, first.token, 1, 1, 0).target == first.target);
-    const SteeringDecision data = balancer.follow(1, second.token, 1, 1);
+    CHECK(balancer.sendPacket(1, first.token, 1, 1, 0).target == first.target);
+    const SteeringDecision data = balancer.sendPacket(1, second.token, 1, 1);
     CHECK(data.target == first.target);
     CHECK(data.token == first.token);
     CHECK(data.reason == SteeringReason::PinnedFlow);
@@ -177,27 +177,27 @@
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
-    balancer.follow(1, first.token, 1, 1, 0);
+    balancer.sendPacket(1, first.token, 1, 1, 0);
     CHECK(balancer.open(1, 1).target == first.target);
-    CHECK(balancer.follow(1, first.token, 1, 1).target == first.target);
+    CHECK(balancer.sendPacket(1, first.token, 1, 1).target == first.target);
 }
 
 TEST_CASE("a balancer that never saw a flow routes it by its token")
 {
     Balancer balancer;
-    const SteeringDecision decision = balancer.follow(7, SteeringTargets::tokenOf(TargetKey{103}), 5, 6);
+    const SteeringDecision decision = balancer.sendPacket(7, SteeringTargets::tokenOf(TargetKey{103}), 5, 6);
     CHECK(decision.action == SteeringAction::Forward);
     CHECK(decision.target == TargetKey{103});
-    CHECK(balancer.follow(8, FlowToken{12345}, 5, 6).action == SteeringAction::Drop);
+    CHECK(balancer.sendPacket(8, FlowToken{12345}, 5, 6).action == SteeringAction::Drop);
 }
 
 TEST_CASE("retransmitted data without a sign of life makes the target suspect, and resets no flow")
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
-    balancer.follow(1, first.token, 1, 1);
+    balancer.sendPacket(1, first.token, 1, 1);
     balancer.now += milliseconds(200);
-    CHECK(balancer.follow(1, first.token, 1, 1).action == SteeringAction::Forward);
+    CHECK(balancer.sendPacket(1, first.token, 1, 1).action == SteeringAction::Forward);
     CHECK(balancer.steering.suspicions() == 1);
     for (std::uint32_t caller = 2; caller < 10; ++caller) {
         CHECK(balancer.open(caller).target != first.target);
@@ -208,27 +208,27 @@
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
-    balancer.follow(1, first.token, 1, 1);
+    balancer.sendPacket(1, first.token, 1, 1);
     TargetRecord record = targetOf(value(first.target), "quotes");
     record.phase = TargetPhase::Draining;
     record.sequence = 2;
     balancer.take(record);
-    CHECK(balancer.follow(1, first.token, 2, 2).target == first.target);
+    CHECK(balancer.sendPacket(1, first.token, 2, 2).target == first.target);
     for (std::uint32_t caller = 2; caller < 10; ++caller) {
         CHECK(balancer.open(caller).target != first.target);
     }
     record.phase = TargetPhase::Left;
     balancer.take(record);
-    CHECK(balancer.follow(1, first.token, 3, 3).action == SteeringAction::Forward);
+    CHECK(balancer.sendPacket(1, first.token, 3, 3).action == SteeringAction::Forward);
     balancer.now += LeftTargetGrace;
-    const SteeringDecision over = balancer.follow(1, first.token, 4, 77);
+    const SteeringDecision over = balancer.sendPacket(1, first.token, 4, 77);
     CHECK(over.action == SteeringAction::Reset);
     CHECK(over.resetSequence == 77);
     // A late announcement does not bring a target back that left.
     record.phase = TargetPhase::Serving;
     record.sequence = 9;
     balancer.take(record);
-    CHECK(balancer.follow(2, first.token, 4, 77).action == SteeringAction::Reset);
+    CHECK(balancer.sendPacket(2, first.token, 4, 77).action == SteeringAction::Reset);
 }
 
 TEST_CASE("targets that no replica reports as alive are chosen last, and losing the only replica changes nothing")
@@ -263,7 +263,7 @@
 
 TEST_CASE("a balancer that has just started holds packets of unknown routes and targets")
 {
-    FlowSteering steering(Here);
+    FlowSteering steering(LocalDataCentre);
     FlowPacket opening = Balancer::packet(1);
     opening.opening = true;
     FlowPacket later = Balancer::packet(2);
@@ -328,11 +328,11 @@
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
-    balancer.follow(1, first.token, 1, 1);
+    balancer.sendPacket(1, first.token, 1, 1);
     const SteeredTarget *target = balancer.steering.targets().find(first.token);
     CHECK(target->flows == 1);
     CHECK(target->busy == 1);
-    balancer.follow(1, first.token, 101, 50, 0);
+    balancer.sendPacket(1, first.token, 101, 50, 0);
     CHECK(target->busy == 0);
     FlowPacket closing = Balancer::packet(1);
     closing.token = first.token;
--- a/tests/test_steering_choice.cpp
+++ b/tests/test_steering_choice.cpp
@@ -16,14 +16,14 @@
 {
     Balancer balancer;
     const SteeringDecision open = balancer.open(1);
-    balancer.follow(1, open.token, 10, 1);
+    balancer.sendPacket(1, open.token, 10, 1);
     const SteeringDecision opening = balancer.open(2);
     REQUIRE(opening.target != TargetKey{103});
-    balancer.steering.setDrained(balancer.now, std::array{Here});
+    balancer.steering.setDrained(balancer.now, std::array{LocalDataCentre});
     for (std::uint32_t caller = 3; caller < 40; ++caller) {
         CHECK(balancer.open(caller).target == TargetKey{103});
     }
-    CHECK(balancer.follow(1, open.token, 110, 2).target == open.target);
+    CHECK(balancer.sendPacket(1, open.token, 110, 2).target == open.target);
     // A duplicate and a retransmission of an opening packet that was forwarded before the drain.
     CHECK(balancer.open(2).target == TargetKey{103});
     CHECK(balancer.open(2, 1).target == TargetKey{103});
@@ -33,27 +33,27 @@
 {
     Balancer balancer;
     const SteeringDecision first = balancer.open(1);
-    balancer.follow(1, first.token, 10, 1);
-    balancer.steering.setDrained(balancer.now, std::array{Here});
+    balancer.sendPacket(1, first.token, 10, 1);
+    balancer.steering.setDrained(balancer.now, std::array{LocalDataCentre});
     CHECK(balancer.open(1, 1).action == SteeringAction::Drop);
-    CHECK(balancer.follow(1, first.token, 110, 2).target == first.target);
+    CHECK(balancer.sendPacket(1, first.token, 110, 2).target == first.target);
     balancer.steering.setDrained(balancer.now, {});
     TargetRecord draining = targetOf(value(first.target), "quotes");
     draining.phase = TargetPhase::Draining;
     draining.sequence = 2;
     balancer.take(draining);
     CHECK(balancer.open(1, 1).action == SteeringAction::Drop);
-    CHECK(balancer.follow(1, first.token, 210, 3).target == first.target);
+    CHECK(balancer.sendPacket(1, first.token, 210, 3).target == first.target);
 }
 
 TEST_CASE("an opening packet is reset at once if every data centre of a service is drained")
 {
     Balancer balancer;
-    balancer.steering.setDrained(balancer.now, std::array{Here, There});
+    balancer.steering.setDrained(balancer.now, std::array{LocalDataCentre, RemoteDataCentre});
     const SteeringDecision decision = balancer.open(1);
     CHECK(decision.action == SteeringAction::Reset);
     CHECK(decision.reason == SteeringReason::NoTarget);
-    balancer.steering.setDrained(balancer.now, std::array{There});
+    balancer.steering.setDrained(balancer.now, std::array{RemoteDataCentre});
     CHECK(balancer.open(1).action == SteeringAction::Forward);
 }
 
@@ -109,7 +109,7 @@
     RoutingTable table = tableOf(2);
     table.warmups = {{seconds(3), true}};
     balancer.steering.apply(table);
-    balancer.steering.setDrained(balancer.now, std::array{Here});
+    balancer.steering.setDrained(balancer.now, std::array{LocalDataCentre});
     balancer.steering.setDrained(balancer.now, {});
     TargetRecord record = targetOf(101, "quotes"); // Announced before it learned of the end of the drain.
     record.sequence = 2;
@@ -156,7 +156,7 @@
         }
         for (std::uint32_t caller = 1; caller <= 2 * Targets; ++caller) {
             const SteeringDecision open = balancer.open(caller);
-            balancer.follow(caller, open.token, 10, 1);
+            balancer.sendPacket(caller, open.token, 10, 1);
         }
         TargetRecord started = targetOf(999, "quotes");
         started.warmupLeft = seconds(2);
