--- a/src/flow_steering.cpp
+++ b/src/flow_steering.cpp
@@ -112,7 +112,7 @@
             return forward(SteeringReason::RepeatedOpening, *first);
         }
         if (packet.copy > flow->copy && first != nullptr) {
-            suspect(now, *first);
+            markSuspect(now, *first);
             avoid = flow->target;
             reason = SteeringReason::OtherTarget;
         }
@@ -155,7 +155,7 @@
     if (target->record.phase == TargetPhase::Left && now - target->leftAt >= LeftTargetGrace) {
         return packet.reset ? drop(SteeringReason::TargetLeft) : reset(SteeringReason::TargetLeft, packet);
     }
-    if (target->gone(now) && packet.dataBytes > 0) {
+    if (target->isGone(now) && packet.dataBytes > 0) {
         return reset(SteeringReason::TargetGone, packet);
     }
     if (flow != nullptr) {
@@ -195,7 +195,7 @@
             flow.sentAt = CoarseTime(now);
         } else if (target.lastAlive + flow.sentAt.elapsed(now) <= now) {
             // The data is retransmitted, and no sign of life came from the target since its first transmission.
-            suspect(now, target);
+            markSuspect(now, target);
             if (m_unanswered.size() < MaxReportsPerTick) {
                 m_unanswered.push_back(target.record.key);
             }
@@ -239,7 +239,7 @@
         if (!m_targets.reportedAlive(target)) {
             return Impairment::Silent;
         }
-        return target.suspect(context.now) ? Impairment::Suspect : Impairment::None;
+        return target.isSuspect(context.now) ? Impairment::Suspect : Impairment::None;
     };
     const bool excludeWarming = m_routes.table().warmupOf(service).limited;
     const auto eligible = [&](const SteeredTarget &target) {
@@ -332,11 +332,11 @@
 }
 
 template<TargetSelectionPolicy Policy>
-void BasicFlowSteering<Policy>::suspect(TimePoint now, SteeredTarget &target)
+void BasicFlowSteering<Policy>::markSuspect(TimePoint now, SteeredTarget &target)
 {
-    if (!target.suspect(now)) {
+    if (!target.isSuspect(now)) {
         ++m_suspicions;
-        m_targets.suspect(now, target);
+        m_targets.markSuspect(now, target);
     }
 }
 
--- a/src/flow_steering.h
+++ b/src/flow_steering.h
@@ -168,7 +168,7 @@
     void assign(Flow &flow, SteeredTarget &target);
     void release(Flow &flow);
     void setBusy(Flow &flow, bool busy);
-    void suspect(TimePoint now, SteeredTarget &target);
+    void markSuspect(TimePoint now, SteeredTarget &target);
 
     DataCentreId m_dataCentre;
     bool m_informed = false;
--- a/src/steering_routes.cpp
+++ b/src/steering_routes.cpp
@@ -78,8 +78,8 @@
     return longest;
 }
 
-// Packets of flows on a removed route are answered with resets. Such flows live no longer than RememberLeft, for which
-// targets that left are remembered too.
+// Packets of flows on a removed route are answered with resets. These flows live no longer than RememberLeft, the time for
+// which targets that left are remembered.
 void SteeringRoutes::tick(TimePoint now)
 {
     boost::unordered::erase_if(m_removed, [now](auto &each) {
--- a/src/steering_targets.cpp
+++ b/src/steering_targets.cpp
@@ -122,9 +122,9 @@
     }
 }
 
-void SteeringTargets::suspect(TimePoint now, SteeredTarget &target)
+void SteeringTargets::markSuspect(TimePoint now, SteeredTarget &target)
 {
-    if (target.suspect(now)) {
+    if (target.isSuspect(now)) {
         return;
     }
     target.suspicion = target.suspicion == Duration{0} ? InitialSuspicion : std::min(target.suspicion * 2, MaxSuspicion);
@@ -149,7 +149,7 @@
     at->second.resetPending = true;
     at->second.goneUntil = now + GoneDuration;
     m_resetPending.push_back(key);
-    suspect(now, at->second);
+    markSuspect(now, at->second);
     return true;
 }
 
--- a/src/steering_targets.h
+++ b/src/steering_targets.h
@@ -39,12 +39,12 @@
     std::uint32_t flows = 0; // Flows through this balancer.
     std::uint32_t busy = 0; // Those of them with a request in progress.
 
-    bool suspect(TimePoint now) const
+    bool isSuspect(TimePoint now) const
     {
         return now < suspectUntil;
     }
 
-    bool gone(TimePoint now) const
+    bool isGone(TimePoint now) const
     {
         return now < goneUntil;
     }
@@ -76,7 +76,7 @@
     void tick(TimePoint now);
 
     // Records that a target did not answer; that it showed a sign of life.
-    void suspect(TimePoint now, SteeredTarget &target);
+    void markSuspect(TimePoint now, SteeredTarget &target);
     void markAlive(TimePoint now, SteeredTarget &target);
 
     // Marks a target as gone unless it showed a sign of life through this balancer within RecentLife; returns whether it was marked.
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -172,8 +172,8 @@
 mutate "births: receipts of any lifetime confirm" src/target_record.h 'auto operator<=>(const TargetLifetime &) const = default;' \
     'auto operator<=>(const TargetLifetime &other) const { return key <=> other.key; } bool operator==(const TargetLifetime &other) const { return key == other.key; }' \
     '*former lifetime*'
-mutate "gone: data of flows new to this balancer is forwarded to a gone target" src/flow_steering.cpp 'if (target->gone(now) && packet.dataBytes > 0) {' \
-    'if (target->gone(now) && packet.dataBytes > 5000) {' '*new here is reset*'
+mutate "gone: data of flows new to this balancer is forwarded to a gone target" src/flow_steering.cpp 'if (target->isGone(now) && packet.dataBytes > 0) {' \
+    'if (target->isGone(now) && packet.dataBytes > 5000) {' '*new here is reset*'
 mutate "gone: data of a flow opened elsewhere is a sign of life" src/flow_steering.cpp 'if (answered && !openedElsewhere) {' 'if (answered || openedElsewhere) {' '*its data began elsewhere*'
 mutate "target selection: the least loaded by own counts" src/flow_steering.h 'using FlowSteering = BasicFlowSteering<PowerOfTwoSelection>;' \
     'using FlowSteering = BasicFlowSteering<LeastLoadedSelection>;' '*gets at most twice its share*'
--- a/tests/test_replica_choice.cpp
+++ b/tests/test_replica_choice.cpp
@@ -151,7 +151,8 @@
     fixture.selector.onDirectoryComplete(RemoteReplica);
     fixture.run(milliseconds(100));
     CHECK(fixture.selector.source() == RemoteReplica);
-    // The failover takes less than 3 s, the shortest time in which a drain must be in force, with a replica list each 1 s.
+    // With 1 s for the transfer of a directory, the failover takes less than 3 s, the shortest time in which a drain must be in
+    // force.
     CHECK(fixture.now - Start < milliseconds(1000) + HealthTimeout);
     CHECK(fixture.selector.desiredLinks().contains(LocalReplica));
     CHECK(fixture.selector.desiredLinks().contains(RemoteReplica));
