--- a/src/flow_steering.cpp
+++ b/src/flow_steering.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Whether one sequence number lies behind another on their circle.
-bool behind(std::uint32_t one, std::uint32_t other)
+// Whether a sequence number comes before another in serial number arithmetic (RFC 1982).
+bool precedes(std::uint32_t one, std::uint32_t other)
 {
     return static_cast<std::int32_t>(one - other) < 0;
 }
@@ -39,56 +39,56 @@
     return ReasonNames[static_cast<std::size_t>(reason)];
 }
 
-template<SteeringChoice Choice>
-BasicFlowSteering<Choice>::BasicFlowSteering(DataCentreId dataCentre)
+template<TargetSelectionPolicy Policy>
+BasicFlowSteering<Policy>::BasicFlowSteering(DataCentreId dataCentre)
     : m_dataCentre(dataCentre)
 {
 }
 
 // ---- Routes ----
 
-template<SteeringChoice Choice>
-bool BasicFlowSteering<Choice>::apply(const RoutingTable &table)
+template<TargetSelectionPolicy Policy>
+bool BasicFlowSteering<Policy>::apply(const RoutingTable &table)
 {
     return m_routes.apply(table);
 }
 
-template<SteeringChoice Choice>
-std::uint64_t BasicFlowSteering<Choice>::version() const
+template<TargetSelectionPolicy Policy>
+std::uint64_t BasicFlowSteering<Policy>::version() const
 {
     return m_routes.table().version;
 }
 
-template<SteeringChoice Choice>
-void BasicFlowSteering<Choice>::setDrained(TimePoint now, std::span<const DataCentreId> drained)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::setDrained(TimePoint now, std::span<const DataCentreId> drained)
 {
     for (const DataCentreId dataCentre : m_routes.setDrained(drained)) {
-        m_targets.warmUp(dataCentre, now + m_routes.longestWarmup());
+        m_targets.startWarmup(dataCentre, now + m_routes.longestWarmup());
     }
 }
 
-template<SteeringChoice Choice>
-void BasicFlowSteering<Choice>::setInformed()
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::setInformed()
 {
     m_informed = true;
 }
 
 // ---- Packets ----
 
-template<SteeringChoice Choice>
-SteeringDecision BasicFlowSteering<Choice>::steer(TimePoint now, const FlowPacket &packet)
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::steer(TimePoint now, const FlowPacket &packet)
 {
-    const SteeringDecision decision = packet.opening ? open(now, packet) : follow(now, packet);
+    const SteeringDecision decision = packet.opening ? steerOpening(now, packet) : steerEstablished(now, packet);
     ++m_counts[static_cast<std::size_t>(decision.reason)];
     return decision;
 }
 
-// An opening packet. The same copy goes to the same target. A later copy says that the target stayed silent
-// for 200 ms or more, or that a packet was lost; either way another target is the better bet.
-template<SteeringChoice Choice>
-SteeringDecision BasicFlowSteering<Choice>::open(TimePoint now, const FlowPacket &packet)
+// Steers an opening packet. A duplicate goes to the same target. A retransmission means that the target has not answered for
+// 200 ms or more, or that a packet was lost; in both cases another target is more likely to answer.
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::steerOpening(TimePoint now, const FlowPacket &packet)
 {
-    if (packet.waited >= timeUntilNextCopy(packet.copy)) {
+    if (packet.maxQueueTime >= retransmissionDelay(packet.copy)) {
         return drop(SteeringReason::LateOpening);
     }
     const Route *route = m_routes.find(packet.route);
@@ -96,15 +96,15 @@
         return m_informed ? reset(SteeringReason::NoRoute, packet) : hold(SteeringReason::NotInformed);
     }
     const FlowKey key{packet.caller, packet.route};
-    Flow *flow = remember(now, key);
+    Flow *flow = findOrAdd(now, key);
     SteeringReason reason = SteeringReason::NewFlow;
     FlowToken avoid{};
-    // A late copy on an open flow must not find it a second target; a first copy is a new flow on an old port.
+    // A retransmission for an open flow must not open it at a second target. A first copy is a new flow that reuses the port.
     const bool late = flow != nullptr && flow->open && packet.copy > 0;
     if (late || (flow != nullptr && !flow->open && value(flow->target) != 0)) {
         SteeredTarget *first = m_targets.find(flow->target);
-        const bool tooSoon = flow->sentAt.elapsed(now) < MinCopyPause;
-        const bool stays = first != nullptr && takesNewFlows(*first);
+        const bool tooSoon = flow->sentAt.elapsed(now) < MinRetransmitInterval;
+        const bool stays = first != nullptr && acceptsNewFlows(*first);
         if (late && first != nullptr && !stays) {
             return drop(SteeringReason::LateOpening);
         }
@@ -112,12 +112,12 @@
             return forward(SteeringReason::RepeatedOpening, *first);
         }
         if (packet.copy > flow->copy && first != nullptr) {
-            suspect(now, *first);
+            markSuspect(now, *first);
             avoid = flow->target;
             reason = SteeringReason::OtherTarget;
         }
     }
-    const ChoiceContext context{now, detail::FlowKeyHash()(key), m_dataCentre};
+    const SelectionContext context{now, detail::FlowKeyHash()(key), m_dataCentre};
     SteeredTarget *target = choose(context, *route, avoid);
     if (target == nullptr) {
         return m_informed ? reset(SteeringReason::NoTarget, packet) : hold(SteeringReason::NotInformed);
@@ -126,25 +126,25 @@
         assign(*flow, *target);
         flow->copy = packet.copy;
         flow->sentAt = CoarseTime(now);
-        flow->opensHere = true;
+        flow->openingSeenHere = true;
         flow->open = false;
     }
     return forward(reason, *target);
 }
 
-// A packet of a flow that its target has answered: the token says which target that is.
-template<SteeringChoice Choice>
-SteeringDecision BasicFlowSteering<Choice>::follow(TimePoint now, const FlowPacket &packet)
+// Steers a packet of a flow that its target has answered; the token names the target.
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::steerEstablished(TimePoint now, const FlowPacket &packet)
 {
     if (m_routes.wasRemoved(packet.route)) {
         return packet.reset ? drop(SteeringReason::RouteDropped) : reset(SteeringReason::RouteDropped, packet);
     }
     FlowToken token = packet.token;
     SteeringReason reason = SteeringReason::OpenFlow;
-    Flow *flow = remember(now, {packet.caller, packet.route});
+    Flow *flow = findOrAdd(now, {packet.caller, packet.route});
     if (flow != nullptr && flow->open && flow->target != token && m_targets.find(flow->target) != nullptr) {
-        // Two targets answered copies of the opening packet. The flow is open at the one that the first
-        // packet named; the token changed when the other one's answer came late.
+        // Two targets answered copies of the opening packet. The flow is open at the one that its first further packet
+        // named; the caller changed the token when the other answer arrived late.
         token = flow->target;
         reason = SteeringReason::PinnedFlow;
     }
@@ -152,10 +152,10 @@
     if (target == nullptr) {
         return m_informed ? drop(SteeringReason::UnknownToken) : hold(SteeringReason::UnknownToken);
     }
-    if (target->record.phase == TargetPhase::Left && now - target->leftAt >= LeftGrace) {
+    if (target->record.phase == TargetPhase::Left && now - target->leftAt >= LeftTargetGrace) {
         return packet.reset ? drop(SteeringReason::TargetLeft) : reset(SteeringReason::TargetLeft, packet);
     }
-    if (target->gone(now) && packet.dataBytes > 0) {
+    if (target->isGone(now) && packet.dataBytes > 0) {
         return reset(SteeringReason::TargetGone, packet);
     }
     if (flow != nullptr) {
@@ -165,15 +165,16 @@
     return forward(reason, *target);
 }
 
-// What a packet tells about load and about the target's health.
-template<SteeringChoice Choice>
-void BasicFlowSteering<Choice>::observe(TimePoint now, const FlowPacket &packet, Flow &flow)
+// Updates the load counts and the target's health from a packet.
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::observe(TimePoint now, const FlowPacket &packet, Flow &flow)
 {
     SteeredTarget &target = *m_targets.find(flow.target);
-    const bool answered = !flow.open || behind(flow.acknowledged, packet.acknowledged);
-    // Data of a flow that opened through another balancer may have been sent and repeated there for long.
-    const bool unheard = !flow.open && !flow.opensHere && packet.dataBytes > 0;
-    if (std::exchange(flow.opensHere, false)) {
+    const bool answered = !flow.open || precedes(flow.acknowledged, packet.acknowledged);
+    // Data of a flow that was opened through another balancer may have been retransmitted there before, so that it says
+    // nothing about the target's health now.
+    const bool openedElsewhere = !flow.open && !flow.openingSeenHere && packet.dataBytes > 0;
+    if (std::exchange(flow.openingSeenHere, false)) {
         m_openTimes.record(flow.sentAt.elapsed(now));
     }
     if (answered && flow.busy) {
@@ -184,17 +185,17 @@
         flow.acknowledged = packet.acknowledged;
         setBusy(flow, false);
     }
-    if (answered && !unheard) {
-        m_targets.sawAlive(now, target);
+    if (answered && !openedElsewhere) {
+        m_targets.markAlive(now, target);
     }
     if (packet.dataBytes > 0) {
-        const bool repeated = flow.busy && !behind(flow.sequence, packet.sequence);
-        if (!repeated) {
+        const bool retransmitted = flow.busy && !precedes(flow.sequence, packet.sequence);
+        if (!retransmitted) {
             flow.sequence = packet.sequence;
             flow.sentAt = CoarseTime(now);
-        } else if (target.alive + flow.sentAt.elapsed(now) <= now) {
-            // Data is sent again, and nothing came from the target since it was sent first.
-            suspect(now, target);
+        } else if (target.lastAlive + flow.sentAt.elapsed(now) <= now) {
+            // The data is retransmitted, and no sign of life came from the target since its first transmission.
+            markSuspect(now, target);
             if (m_unanswered.size() < MaxReportsPerTick) {
                 m_unanswered.push_back(target.record.key);
             }
@@ -206,65 +207,66 @@
     }
 }
 
-// ---- Choice ----
+// ---- Target selection ----
 
-template<SteeringChoice Choice>
-SteeredTarget *BasicFlowSteering<Choice>::choose(const ChoiceContext &context, const Route &route, FlowToken avoid)
+template<TargetSelectionPolicy Policy>
+SteeredTarget *BasicFlowSteering<Policy>::choose(const SelectionContext &context, const Route &route, FlowToken avoid)
 {
-    SteeredTarget *target = chooseOf(context, serviceOf(route, context.flowHash), avoid);
+    SteeredTarget *target = chooseFromService(context, serviceOf(route, context.flowHash), avoid);
     for (std::size_t i = 0; target == nullptr && i < route.services.size(); ++i) {
         if (route.services[i].weight > 0) {
-            target = chooseOf(context, route.services[i].service, avoid);
+            target = chooseFromService(context, route.services[i].service, avoid);
         }
     }
     return target;
 }
 
-// The best of the targets without a blemish; if there are none, of those that are only suspect or silent.
-template<SteeringChoice Choice>
-SteeredTarget *BasicFlowSteering<Choice>::chooseOf(const ChoiceContext &context, std::uint16_t service, FlowToken avoid)
+// Selects among the unimpaired targets; if there are none, among suspect ones as well, then silent ones, then the avoided
+// one.
+template<TargetSelectionPolicy Policy>
+SteeredTarget *BasicFlowSteering<Policy>::chooseFromService(const SelectionContext &context, std::uint16_t service, FlowToken avoid)
 {
-    enum class Blemish : std::uint8_t {
+    enum class Impairment : std::uint8_t {
         None,
         Suspect,
         Silent,
         Avoided,
     };
-    const auto blemishOf = [&](const SteeredTarget &target) {
+    const auto impairmentOf = [&](const SteeredTarget &target) {
         if (target.token == avoid) {
-            return Blemish::Avoided;
+            return Impairment::Avoided;
         }
-        if (!m_targets.vouched(target)) {
-            return Blemish::Silent;
+        if (!m_targets.reportedAlive(target)) {
+            return Impairment::Silent;
         }
-        return target.suspect(context.now) ? Blemish::Suspect : Blemish::None;
+        return target.isSuspect(context.now) ? Impairment::Suspect : Impairment::None;
     };
-    const bool spareCold = m_routes.table().warmupOf(service).limited;
-    const auto takes = [&](const SteeredTarget &target) {
-        return takesNewFlows(target) && !(spareCold && context.now < target.warmAt);
+    const bool excludeWarming = m_routes.table().warmupOf(service).limited;
+    const auto eligible = [&](const SteeredTarget &target) {
+        return acceptsNewFlows(target) && !(excludeWarming && context.now < target.warmupEnd);
     };
     const std::span<SteeredTarget *const> targets = m_targets.ofService(m_routes.table().services[service]);
-    for (const Blemish worst : {Blemish::None, Blemish::Suspect, Blemish::Silent, Blemish::Avoided}) {
+    for (const Impairment worst : {Impairment::None, Impairment::Suspect, Impairment::Silent, Impairment::Avoided}) {
         m_candidates.clear();
         std::copy_if(targets.begin(), targets.end(), std::back_inserter(m_candidates), [&](const SteeredTarget *target) {
-            return takes(*target) && blemishOf(*target) <= worst;
+            return eligible(*target) && impairmentOf(*target) <= worst;
         });
         if (!m_candidates.empty()) {
-            return Choice::pick(m_candidates, context);
+            return Policy::pick(m_candidates, context);
         }
     }
     return nullptr;
 }
 
-template<SteeringChoice Choice>
-bool BasicFlowSteering<Choice>::takesNewFlows(const SteeredTarget &target) const
+template<TargetSelectionPolicy Policy>
+bool BasicFlowSteering<Policy>::acceptsNewFlows(const SteeredTarget &target) const
 {
-    return target.record.phase == TargetPhase::Serving && !target.ambiguous && !m_routes.isDrained(target.record.dataCentre);
+    return target.record.phase == TargetPhase::Serving && !target.tokenCollision && !m_routes.isDrained(target.record.dataCentre);
 }
 
-// The flow's hash divides flows by weight, so that all copies of an opening packet get the same service.
-template<SteeringChoice Choice>
-std::uint16_t BasicFlowSteering<Choice>::serviceOf(const Route &route, std::uint64_t flowHash)
+// Distributes flows by weight using the flow's hash, so that all copies of an opening packet get the same service.
+template<TargetSelectionPolicy Policy>
+std::uint16_t BasicFlowSteering<Policy>::serviceOf(const Route &route, std::uint64_t flowHash)
 {
     std::uint64_t total = 0;
     for (const WeightedService &service : route.services) {
@@ -282,8 +284,8 @@
 
 // ---- Flows ----
 
-template<SteeringChoice Choice>
-detail::SteeredFlow *BasicFlowSteering<Choice>::remember(TimePoint now, const FlowKey &key)
+template<TargetSelectionPolicy Policy>
+detail::SteeredFlow *BasicFlowSteering<Policy>::findOrAdd(TimePoint now, const FlowKey &key)
 {
     auto at = m_flows.find(key);
     if (at == m_flows.end()) {
@@ -292,12 +294,12 @@
         }
         at = m_flows.emplace(key, Flow{}).first;
     }
-    at->second.seen = CoarseTime(now);
+    at->second.lastSeen = CoarseTime(now);
     return &at->second;
 }
 
-template<SteeringChoice Choice>
-void BasicFlowSteering<Choice>::assign(Flow &flow, SteeredTarget &target)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::assign(Flow &flow, SteeredTarget &target)
 {
     if (flow.counted && flow.target == target.token) {
         return;
@@ -308,8 +310,8 @@
     ++target.flows;
 }
 
-template<SteeringChoice Choice>
-void BasicFlowSteering<Choice>::release(Flow &flow)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::release(Flow &flow)
 {
     setBusy(flow, false);
     SteeredTarget *target = flow.counted ? m_targets.find(flow.target) : nullptr;
@@ -319,8 +321,8 @@
     flow.counted = false;
 }
 
-template<SteeringChoice Choice>
-void BasicFlowSteering<Choice>::setBusy(Flow &flow, bool busy)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::setBusy(Flow &flow, bool busy)
 {
     SteeredTarget *target = flow.busy != busy ? m_targets.find(flow.target) : nullptr;
     if (target != nullptr) {
@@ -329,32 +331,32 @@
     flow.busy = busy;
 }
 
-template<SteeringChoice Choice>
-void BasicFlowSteering<Choice>::suspect(TimePoint now, SteeredTarget &target)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::markSuspect(TimePoint now, SteeredTarget &target)
 {
-    if (!target.suspect(now)) {
+    if (!target.isSuspect(now)) {
         ++m_suspicions;
-        m_targets.suspect(now, target);
+        m_targets.markSuspect(now, target);
     }
 }
 
-template<SteeringChoice Choice>
-std::vector<TargetKey> BasicFlowSteering<Choice>::takeUnanswered()
+template<TargetSelectionPolicy Policy>
+std::vector<TargetKey> BasicFlowSteering<Policy>::takeUnanswered()
 {
     return std::exchange(m_unanswered, {});
 }
 
-template<SteeringChoice Choice>
-std::vector<FlowReset> BasicFlowSteering<Choice>::takeResets()
+template<TargetSelectionPolicy Policy>
+std::vector<FlowReset> BasicFlowSteering<Policy>::takeResets()
 {
     std::vector<FlowReset> resets;
-    if (!m_targets.anyFlowsOver()) {
+    if (!m_targets.anyResetPending()) {
         return resets;
     }
     boost::unordered::erase_if(m_flows, [&](auto &each) {
         auto &[key, flow] = each;
         const SteeredTarget *target = flow.counted ? m_targets.find(flow.target) : nullptr;
-        if (target == nullptr || !target->flowsOver || resets.size() >= MaxResetsPerTick) {
+        if (target == nullptr || !target->resetPending || resets.size() >= MaxResetsPerTick) {
             return false;
         }
         if (flow.open) {
@@ -364,13 +366,13 @@
         return true;
     });
     if (resets.size() < MaxResetsPerTick) {
-        m_targets.clearFlowsOver();
+        m_targets.clearResetPending();
     }
     return resets;
 }
 
-template<SteeringChoice Choice>
-void BasicFlowSteering<Choice>::tick(TimePoint now)
+template<TargetSelectionPolicy Policy>
+void BasicFlowSteering<Policy>::tick(TimePoint now)
 {
     if (now < m_sweepDue) {
         return;
@@ -383,7 +385,7 @@
         if (flow.busy && flow.sentAt.elapsed(now) >= MaxBusyTime) {
             setBusy(flow, false);
         }
-        if (flow.seen.elapsed(now) < idle) {
+        if (flow.lastSeen.elapsed(now) < idle) {
             return false;
         }
         release(flow);
@@ -395,14 +397,14 @@
 
 // ---- Decisions ----
 
-template<SteeringChoice Choice>
-SteeringDecision BasicFlowSteering<Choice>::forward(SteeringReason reason, const SteeredTarget &target)
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::forward(SteeringReason reason, const SteeredTarget &target)
 {
     return {SteeringAction::Forward, reason, target.record.key, target.record.address, target.token, 0};
 }
 
-template<SteeringChoice Choice>
-SteeringDecision BasicFlowSteering<Choice>::reset(SteeringReason reason, const FlowPacket &packet)
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::reset(SteeringReason reason, const FlowPacket &packet)
 {
     const auto flow = m_flows.find(FlowKey{packet.caller, packet.route});
     if (flow != m_flows.end()) {
@@ -412,70 +414,70 @@
     return {SteeringAction::Reset, reason, {}, {}, {}, packet.opening ? 0 : packet.acknowledged};
 }
 
-template<SteeringChoice Choice>
-SteeringDecision BasicFlowSteering<Choice>::drop(SteeringReason reason)
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::drop(SteeringReason reason)
 {
     return {SteeringAction::Drop, reason, {}, {}, {}, 0};
 }
 
-template<SteeringChoice Choice>
-SteeringDecision BasicFlowSteering<Choice>::hold(SteeringReason reason)
+template<TargetSelectionPolicy Policy>
+SteeringDecision BasicFlowSteering<Policy>::hold(SteeringReason reason)
 {
     return {SteeringAction::Hold, reason, {}, {}, {}, 0};
 }
 
-// ---- Small questions ----
+// ---- Accessors ----
 
-template<SteeringChoice Choice>
-SteeringTargets &BasicFlowSteering<Choice>::targets()
+template<TargetSelectionPolicy Policy>
+SteeringTargets &BasicFlowSteering<Policy>::targets()
 {
     return m_targets;
 }
 
-template<SteeringChoice Choice>
-const SteeringTargets &BasicFlowSteering<Choice>::targets() const
+template<TargetSelectionPolicy Policy>
+const SteeringTargets &BasicFlowSteering<Policy>::targets() const
 {
     return m_targets;
 }
 
-template<SteeringChoice Choice>
-std::size_t BasicFlowSteering<Choice>::flowCount() const
+template<TargetSelectionPolicy Policy>
+std::size_t BasicFlowSteering<Policy>::flowCount() const
 {
     return m_flows.size();
 }
 
-template<SteeringChoice Choice>
-std::uint64_t BasicFlowSteering<Choice>::count(SteeringReason reason) const
+template<TargetSelectionPolicy Policy>
+std::uint64_t BasicFlowSteering<Policy>::count(SteeringReason reason) const
 {
     return m_counts[static_cast<std::size_t>(reason)];
 }
 
-template<SteeringChoice Choice>
-std::uint64_t BasicFlowSteering<Choice>::suspicions() const
+template<TargetSelectionPolicy Policy>
+std::uint64_t BasicFlowSteering<Policy>::suspicions() const
 {
     return m_suspicions;
 }
 
-template<SteeringChoice Choice>
-const LatencyHistogram &BasicFlowSteering<Choice>::openTimes() const
+template<TargetSelectionPolicy Policy>
+const LatencyHistogram &BasicFlowSteering<Policy>::openTimes() const
 {
     return m_openTimes;
 }
 
-template<SteeringChoice Choice>
-const LatencyHistogram &BasicFlowSteering<Choice>::answerTimes() const
+template<TargetSelectionPolicy Policy>
+const LatencyHistogram &BasicFlowSteering<Policy>::answerTimes() const
 {
     return m_answerTimes;
 }
 
-template<SteeringChoice Choice>
-std::size_t BasicFlowSteering<Choice>::droppedRoutes() const
+template<TargetSelectionPolicy Policy>
+std::size_t BasicFlowSteering<Policy>::droppedRoutes() const
 {
     return m_routes.removedRoutes();
 }
 
-template class BasicFlowSteering<HashChoice>;
-template class BasicFlowSteering<LeastUsedChoice>;
-template class BasicFlowSteering<TwoChoices>;
+template class BasicFlowSteering<HashSelection>;
+template class BasicFlowSteering<LeastLoadedSelection>;
+template class BasicFlowSteering<PowerOfTwoSelection>;
 
 } // namespace Robinrail
--- a/src/replica_choice.cpp
+++ b/src/replica_choice.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica choice: implementation.
+// Replica selector: implementation.
 #include "replica_choice.h"
 
 #include "hash.h"
@@ -8,14 +8,14 @@
 
 namespace Robinrail {
 
-ReplicaChoice::ReplicaChoice(DataCentreId dataCentre, std::uint64_t self)
+ReplicaSelector::ReplicaSelector(DataCentreId dataCentre, std::uint64_t balancerId)
     : m_dataCentre(dataCentre)
-    , m_self(self)
+    , m_balancerId(balancerId)
 {
 }
 
-// Own data centre first; among equals the order is this balancer's own, by rendezvous hashing.
-void ReplicaChoice::know(std::span<const ReplicaPlace> named, std::span<const ReplicaId> seeds)
+// Replicas of the own data centre come first; within a rank, rendezvous hashing gives each balancer its own order.
+void ReplicaSelector::setReplicas(std::span<const ReplicaPlace> named, std::span<const ReplicaId> seeds)
 {
     enum class Rank : std::uint8_t {
         Near,
@@ -31,13 +31,13 @@
         const auto [at, added] = ranks.try_emplace(place.replica, rank);
         at->second = std::min(at->second, rank);
     }
-    m_order.clear();
+    m_preference.clear();
     for (const auto &[replica, rank] : ranks) {
-        m_order.push_back(replica);
+        m_preference.push_back(replica);
     }
-    std::sort(m_order.begin(), m_order.end(), [&](ReplicaId left, ReplicaId right) {
+    std::sort(m_preference.begin(), m_preference.end(), [&](ReplicaId left, ReplicaId right) {
         const auto key = [&](ReplicaId replica) {
-            return std::pair(ranks.at(replica), hashPair(m_self, value(replica)));
+            return std::pair(ranks.at(replica), hashPair(m_balancerId, value(replica)));
         };
         return key(left) < key(right);
     });
@@ -46,154 +46,154 @@
     });
 }
 
-void ReplicaChoice::answered(TimePoint now, ReplicaId replica)
+void ReplicaSelector::onAccepted(TimePoint now, ReplicaId replica)
 {
-    m_answered.try_emplace(replica, now);
+    m_acceptedAt.try_emplace(replica, now);
 }
 
-void ReplicaChoice::linked(TimePoint now, ReplicaId replica)
+void ReplicaSelector::onLinkUp(TimePoint now, ReplicaId replica)
 {
-    m_answered.erase(replica);
+    m_acceptedAt.erase(replica);
     m_states[replica].linked = true;
-    m_firstLink = m_firstLink.value_or(now);
+    m_firstLinkAt = m_firstLinkAt.value_or(now);
 }
 
-void ReplicaChoice::lost(TimePoint now, ReplicaId replica)
+void ReplicaSelector::onLinkLost(TimePoint now, ReplicaId replica)
 {
     m_states.erase(replica);
-    m_answered.erase(replica);
+    m_acceptedAt.erase(replica);
     if (replica == m_source) {
-        m_sourceAwaited = now + SourceGrace;
+        m_sourceGraceEnd = now + SourceGrace;
     }
 }
 
-void ReplicaChoice::confirmed(TimePoint now, ReplicaId replica)
+void ReplicaSelector::onQuorumConfirmed(TimePoint now, ReplicaId replica)
 {
     m_states[replica].confirmedAt = now;
 }
 
-void ReplicaChoice::completed(ReplicaId replica)
+void ReplicaSelector::onDirectoryComplete(ReplicaId replica)
 {
     m_states[replica].completed = true;
 }
 
-void ReplicaChoice::turn(TimePoint now)
+void ReplicaSelector::update(TimePoint now)
 {
-    watchHealth(now);
-    m_next = best(now);
+    updateHealth(now);
+    m_nextSource = bestHealthy(now);
     if (!m_source) {
-        m_next = patient(now, m_next ? m_next : firstLinked());
+        m_nextSource = afterFirstChoiceGrace(now, m_nextSource ? m_nextSource : firstWithLink());
     }
-    if (m_next && m_states.at(*m_next).completed) {
-        m_source = m_next;
+    if (m_nextSource && m_states.at(*m_nextSource).completed) {
+        m_source = m_nextSource;
     }
-    if (m_next == m_source) {
-        m_next.reset();
+    if (m_nextSource == m_source) {
+        m_nextSource.reset();
     }
-    extendReach(now);
-    setWanted();
+    extendDialRange(now);
+    updateDesiredLinks();
 }
 
-bool ReplicaChoice::healthy(TimePoint now, ReplicaId replica) const
+bool ReplicaSelector::healthy(TimePoint now, ReplicaId replica) const
 {
     const auto at = m_states.find(replica);
-    return at != m_states.end() && at->second.linked && now - at->second.confirmedAt < HealthyFor;
+    return at != m_states.end() && at->second.linked && now - at->second.confirmedAt < HealthTimeout;
 }
 
-void ReplicaChoice::watchHealth(TimePoint now)
+void ReplicaSelector::updateHealth(TimePoint now)
 {
     for (auto &[replica, state] : m_states) {
-        const bool was = std::exchange(state.healthy, healthy(now, replica));
-        if (!was && state.healthy) {
-            const std::uint64_t lot = hashPair(m_self, static_cast<std::uint64_t>(now.time_since_epoch().count()));
-            state.returnAt = now + Duration(static_cast<std::int64_t>(lot % static_cast<std::uint64_t>(MaxReturnDelay.count())));
+        const bool wasHealthy = std::exchange(state.healthy, healthy(now, replica));
+        if (!wasHealthy && state.healthy) {
+            const std::uint64_t hash = hashPair(m_balancerId, static_cast<std::uint64_t>(now.time_since_epoch().count()));
+            state.failbackAt = now + Duration(static_cast<std::int64_t>(hash % static_cast<std::uint64_t>(MaxFailbackDelay.count())));
         }
     }
 }
 
-// The first healthy one. While the source is healthy, a better one must have been so for a while.
-std::optional<ReplicaId> ReplicaChoice::best(TimePoint now) const
+// The most preferred healthy replica. While the source is healthy, a better one is chosen only after its failback delay.
+std::optional<ReplicaId> ReplicaSelector::bestHealthy(TimePoint now) const
 {
-    const bool atEase = m_source && healthy(now, *m_source);
-    const auto at = std::find_if(m_order.begin(), m_order.end(), [&](ReplicaId replica) {
-        return healthy(now, replica) && (!atEase || replica == *m_source || now >= m_states.at(replica).returnAt);
+    const bool sourceHealthy = m_source && healthy(now, *m_source);
+    const auto at = std::find_if(m_preference.begin(), m_preference.end(), [&](ReplicaId replica) {
+        return healthy(now, replica) && (!sourceHealthy || replica == *m_source || now >= m_states.at(replica).failbackAt);
     });
-    return at != m_order.end() ? std::optional(*at) : std::nullopt;
+    return at != m_preference.end() ? std::optional(*at) : std::nullopt;
 }
 
-std::optional<ReplicaId> ReplicaChoice::firstLinked() const
+std::optional<ReplicaId> ReplicaSelector::firstWithLink() const
 {
-    const auto at = std::find_if(m_order.begin(), m_order.end(), [this](ReplicaId replica) {
+    const auto at = std::find_if(m_preference.begin(), m_preference.end(), [this](ReplicaId replica) {
         const auto state = m_states.find(replica);
         return state != m_states.end() && state->second.linked;
     });
-    return at != m_order.end() ? std::optional(*at) : std::nullopt;
+    return at != m_preference.end() ? std::optional(*at) : std::nullopt;
 }
 
-// Holds another replica than the first choice back until that one has had time to link up.
-std::optional<ReplicaId> ReplicaChoice::patient(TimePoint now, std::optional<ReplicaId> replica) const
+// Returns no replica but the first choice until that one has had time to set up its link.
+std::optional<ReplicaId> ReplicaSelector::afterFirstChoiceGrace(TimePoint now, std::optional<ReplicaId> replica) const
 {
-    const bool early = m_firstLink && now - *m_firstLink < FirstChoicePatience;
-    const bool first = replica && *replica == m_order.front();
+    const bool early = m_firstLinkAt && now - *m_firstLinkAt < FirstChoiceGrace;
+    const bool first = replica && *replica == m_preference.front();
     return early && !first ? std::nullopt : replica;
 }
 
-// Whether a replica that took a connection is still likely to greet.
-bool ReplicaChoice::greetingDue(TimePoint now) const
+// Whether a replica that accepted a connection may still complete the handshake.
+bool ReplicaSelector::handshakePending(TimePoint now) const
 {
-    return std::any_of(m_answered.begin(), m_answered.end(), [now](const auto &each) {
-        return now - each.second < HandshakePatience;
+    return std::any_of(m_acceptedAt.begin(), m_acceptedAt.end(), [now](const auto &each) {
+        return now - each.second < HandshakeGrace;
     });
 }
 
-// Dials no further than to a healthy source, and otherwise ever further.
-void ReplicaChoice::extendReach(TimePoint now)
+// Limits dialling to the replicas up to a healthy source; without one, dials one more replica each CandidateInterval.
+void ReplicaSelector::extendDialRange(TimePoint now)
 {
-    const auto source = m_source ? std::find(m_order.begin(), m_order.end(), *m_source) : m_order.end();
-    if (source != m_order.end() && healthy(now, *source)) {
-        m_reach = static_cast<std::size_t>(source - m_order.begin()) + 1;
-        m_reachDue = now + CandidatePause;
-    } else if (now >= std::max(m_reachDue, m_sourceAwaited) && !greetingDue(now)) {
-        const bool begun = m_reachDue != TimePoint{};
-        m_reach = std::min(m_reach + (begun ? 1 : 0), m_order.size());
-        m_reachDue = now + CandidatePause;
+    const auto source = m_source ? std::find(m_preference.begin(), m_preference.end(), *m_source) : m_preference.end();
+    if (source != m_preference.end() && healthy(now, *source)) {
+        m_dialCount = static_cast<std::size_t>(source - m_preference.begin()) + 1;
+        m_dialDue = now + CandidateInterval;
+    } else if (now >= std::max(m_dialDue, m_sourceGraceEnd) && !handshakePending(now)) {
+        const bool started = m_dialDue != TimePoint{};
+        m_dialCount = std::min(m_dialCount + (started ? 1 : 0), m_preference.size());
+        m_dialDue = now + CandidateInterval;
     }
 }
 
-bool ReplicaChoice::known(ReplicaId replica) const
+bool ReplicaSelector::known(ReplicaId replica) const
 {
-    return std::find(m_order.begin(), m_order.end(), replica) != m_order.end();
+    return std::find(m_preference.begin(), m_preference.end(), replica) != m_preference.end();
 }
 
-void ReplicaChoice::setWanted()
+void ReplicaSelector::updateDesiredLinks()
 {
-    m_wanted = {m_order.begin(), m_order.begin() + static_cast<std::ptrdiff_t>(std::min(m_reach, m_order.size()))};
-    if (m_next) {
-        m_wanted.insert(*m_next);
+    m_desiredLinks = {m_preference.begin(), m_preference.begin() + static_cast<std::ptrdiff_t>(std::min(m_dialCount, m_preference.size()))};
+    if (m_nextSource) {
+        m_desiredLinks.insert(*m_nextSource);
     }
     if (m_source && known(*m_source)) {
-        m_wanted.insert(*m_source);
+        m_desiredLinks.insert(*m_source);
     }
     if (m_source) {
         return;
     }
-    // Links that are up are not given up as long as nothing better is.
+    // Without a source, links that are up are kept.
     for (const auto &[replica, state] : m_states) {
         if (state.linked && known(replica)) {
-            m_wanted.insert(replica);
+            m_desiredLinks.insert(replica);
         }
     }
 }
 
-const std::set<ReplicaId> &ReplicaChoice::wanted() const
+const std::set<ReplicaId> &ReplicaSelector::desiredLinks() const
 {
-    return m_wanted;
+    return m_desiredLinks;
 }
 
-std::vector<ReplicaId> ReplicaChoice::followed() const
+std::vector<ReplicaId> ReplicaSelector::followed() const
 {
     std::vector<ReplicaId> followed;
-    for (const std::optional<ReplicaId> &replica : {m_source, m_next}) {
+    for (const std::optional<ReplicaId> &replica : {m_source, m_nextSource}) {
         if (replica) {
             followed.push_back(*replica);
         }
@@ -201,7 +201,7 @@
     return followed;
 }
 
-std::optional<ReplicaId> ReplicaChoice::source() const
+std::optional<ReplicaId> ReplicaSelector::source() const
 {
     return m_source;
 }
--- a/src/standstill_watch.h
+++ b/src/standstill_watch.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Standstill watch: tells for how long a process did not run, so that what waited in its sockets is old.
+// Stall detector: measures how long a process was not scheduled, and thus how old the packets in its sockets may be.
 #pragma once
 
 #include "types.h"
@@ -8,42 +8,42 @@
 
 namespace Robinrail {
 
-// A pause between two turns of a process that is no standstill: twice the interval of its clock.
-inline constexpr Duration MaxTurnTime = std::chrono::milliseconds(100);
+// A pause between two calls of tick() from which on the process counts as stalled: twice the interval of its timer.
+inline constexpr Duration StallThreshold = std::chrono::milliseconds(100);
 
-class StandstillWatch
+class StallDetector
 {
 public:
-    explicit StandstillWatch(TimePoint now)
+    explicit StallDetector(TimePoint now)
         : m_last(now)
     {
     }
 
-    // The process runs. Call it more often than MaxTurnTime, and before reading what may have waited.
-    void turn(TimePoint now)
+    // Records that the process runs. Call it at shorter intervals than StallThreshold, and before reading from the sockets.
+    void tick(TimePoint now)
     {
         const Duration pause = now - m_last;
         m_last = now;
-        if (pause >= MaxTurnTime) {
-            m_waited = std::max(m_waited, pause);
+        if (pause >= StallThreshold) {
+            m_maxQueueTime = std::max(m_maxQueueTime, pause);
         }
     }
 
-    // All that waited has been read.
+    // All packets that had arrived were read.
     void queueEmptied()
     {
-        m_waited = {};
+        m_maxQueueTime = {};
     }
 
-    // How long what is read now may have waited at most; 0 if the process did not stand still.
-    Duration waited() const
+    // Upper bound of the time that packets read now were queued; 0 if the process was not stalled.
+    Duration maxQueueTime() const
     {
-        return m_waited;
+        return m_maxQueueTime;
     }
 
 private:
     TimePoint m_last;
-    Duration m_waited{};
+    Duration m_maxQueueTime{};
 };
 
 } // namespace Robinrail
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -15,7 +15,7 @@
     , m_links(io,
               {NodeRole::Balancer, ReplicaId{0}, m_file.dataCentreId(m_file.dataCentre)},
               {[this](ReplicaId replica) {
-                   m_choice.answered(monotonicNow(), replica);
+                   m_replicaSelector.onAccepted(monotonicNow(), replica);
                },
                [this](LinkHandle link, const NodeHello &peer) {
                    onEstablished(link, peer);
@@ -28,12 +28,12 @@
                }})
     , m_timer(io)
     , m_steering(m_file.dataCentreId(m_file.dataCentre))
-    , m_standstill(monotonicNow())
+    , m_stallDetector(monotonicNow())
     , m_now(monotonicNow())
-    , m_choice(m_file.dataCentreId(m_file.dataCentre), m_file.packetListen.address)
+    , m_replicaSelector(m_file.dataCentreId(m_file.dataCentre), m_file.packetListen.address)
     , m_follower(m_steering.targets())
-    , m_onLearnt([] {})
-    , m_findings(m_file.borneLoss())
+    , m_onRoutingData([] {})
+    , m_probeFindings(m_file.borneLoss())
     , m_sendResets([](std::span<const FlowReset>) {})
 {
 }
@@ -45,14 +45,14 @@
         .with("data-centre", m_file.dataCentre)
         .with("packets", toText(m_file.packetListen))
         .with("seeds", m_file.seeds.size());
-    knowReplicas();
+    updateReplicas();
     tick();
 }
 
 void SteeringNode::reload(const SteeringFile &file)
 {
     m_file.seeds = file.seeds;
-    knowReplicas();
+    updateReplicas();
     LogLine(LogLevel::Info, "settings-reloaded").with("seeds", m_file.seeds.size());
 }
 
@@ -66,7 +66,7 @@
 
 Duration SteeringNode::stopTime() const
 {
-    return std::min(FabricNoticeTime, m_file.grace / 2);
+    return std::min(FabricDetectionTime, m_file.grace / 2);
 }
 
 bool SteeringNode::ready() const
@@ -77,10 +77,10 @@
 void SteeringNode::updateReadiness()
 {
     m_confirmed = m_confirmed || (m_confirmedVersion > 0 && m_confirmedVersion <= m_steering.version());
-    if (!m_informed && m_confirmed && m_choice.source() && m_steering.targets().size() > 0) {
+    if (!m_informed && m_confirmed && m_replicaSelector.source() && m_steering.targets().size() > 0) {
         m_informed = true;
         m_steering.setInformed();
-        m_onLearnt();
+        m_onRoutingData();
     }
     const bool ready = !m_stopping && m_informed;
     if (ready != m_ready) {
@@ -92,15 +92,15 @@
 void SteeringNode::tick()
 {
     m_now = monotonicNow();
-    m_standstill.turn(m_now);
-    chooseReplicas();
+    m_stallDetector.tick(m_now);
+    selectReplicas();
     m_links.tick(m_now);
     m_steering.tick(m_now);
     reportUnanswered();
     resetFlows();
-    fetchIfBehind(m_now);
+    requestTableIfBehind(m_now);
     updateReadiness();
-    m_timer.expires_after(SteeringTick);
+    m_timer.expires_after(SteeringTickInterval);
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             tick();
@@ -110,27 +110,27 @@
 
 // ---- Packets ----
 
-void SteeringNode::onLearnt(std::function<void()> learnt)
+void SteeringNode::setRoutingDataHandler(std::function<void()> handler)
 {
-    m_onLearnt = std::move(learnt);
+    m_onRoutingData = std::move(handler);
 }
 
-void SteeringNode::beginPackets()
+void SteeringNode::beginReceive()
 {
-    m_standstill.turn(monotonicNow());
+    m_stallDetector.tick(monotonicNow());
 }
 
-void SteeringNode::endPackets(bool emptied)
+void SteeringNode::endReceive(bool emptied)
 {
     if (emptied) {
-        m_standstill.queueEmptied();
+        m_stallDetector.queueEmptied();
     }
 }
 
 SteeringDecision SteeringNode::steer(FlowPacket packet)
 {
     const TimePoint now = monotonicNow();
-    packet.waited = m_standstill.waited();
+    packet.maxQueueTime = m_stallDetector.maxQueueTime();
     const SteeringDecision decision = m_steering.steer(now, packet);
     if (decision.reason != SteeringReason::OpenFlow) {
         logDecision(now, packet, decision);
@@ -140,7 +140,7 @@
 
 void SteeringNode::logDecision(TimePoint now, const FlowPacket &packet, const SteeringDecision &decision)
 {
-    const std::optional<std::uint64_t> leftOut = m_logs[static_cast<std::size_t>(decision.reason)].take(now);
+    const std::optional<std::uint64_t> leftOut = m_decisionLogs[static_cast<std::size_t>(decision.reason)].take(now);
     if (!leftOut) {
         return;
     }
@@ -166,31 +166,31 @@
 
 // ---- Replicas ----
 
-// The seeds, and whatever replicas those name.
-void SteeringNode::knowReplicas()
+// Passes the seeds and the replicas that are named in replica lists to the selector.
+void SteeringNode::updateReplicas()
 {
     std::vector<ReplicaId> seeds;
     for (const Endpoint &seed : m_file.seeds) {
         seeds.push_back(ReplicaId{seed.address});
     }
     std::vector<ReplicaPlace> named;
-    for (const auto &[replica, list] : m_lists) {
+    for (const auto &[replica, list] : m_replicaLists) {
         named.insert(named.end(), list.begin(), list.end());
     }
-    m_choice.know(named, seeds);
-    chooseReplicas();
+    m_replicaSelector.setReplicas(named, seeds);
+    selectReplicas();
 }
 
-void SteeringNode::chooseReplicas()
+void SteeringNode::selectReplicas()
 {
-    const std::optional<ReplicaId> source = m_choice.source();
-    const std::set<ReplicaId> before = m_choice.wanted();
-    m_choice.turn(monotonicNow());
-    if (m_choice.source() && m_choice.source() != source) {
-        m_steering.targets().setSource(*m_choice.source());
-        LogLine(LogLevel::Info, "replica-followed").with("replica", toText(*m_choice.source()));
+    const std::optional<ReplicaId> source = m_replicaSelector.source();
+    const std::set<ReplicaId> before = m_replicaSelector.desiredLinks();
+    m_replicaSelector.update(monotonicNow());
+    if (m_replicaSelector.source() && m_replicaSelector.source() != source) {
+        m_steering.targets().setSource(*m_replicaSelector.source());
+        LogLine(LogLevel::Info, "replica-followed").with("replica", toText(*m_replicaSelector.source()));
     }
-    const std::set<ReplicaId> &wanted = m_choice.wanted();
+    const std::set<ReplicaId> &wanted = m_replicaSelector.desiredLinks();
     if (wanted != before) {
         m_links.maintain(wanted, m_file.linkPort);
     }
@@ -202,13 +202,14 @@
     followDirectories();
 }
 
-// Asks for directories on links on which that was not done yet.
+// Requests directories on links on which that was not done yet.
 void SteeringNode::followDirectories()
 {
-    for (const ReplicaId replica : m_choice.followed()) {
+    for (const ReplicaId replica : m_replicaSelector.followed()) {
         const LinkHandle link = m_links.linkTo(replica);
-        if (link != 0 && std::exchange(m_following[replica], link) != link) {
-            // Behind a whole directory a table would wait for 70 ms on a link of 2 Mbit/s, and both are needed to steer.
+        if (link != 0 && std::exchange(m_directoryLinks[replica], link) != link) {
+            // The table is requested first: behind a whole directory it would be delayed by 70 ms on a link of 2 Mbit/s, and
+            // both are needed to steer.
             if (m_steering.version() == 0) {
                 m_links.send(link, RoutingRequest{});
             }
@@ -219,20 +220,20 @@
 
 void SteeringNode::onEstablished(LinkHandle /*link*/, const NodeHello &peer)
 {
-    m_choice.linked(monotonicNow(), peer.replica);
+    m_replicaSelector.onLinkUp(monotonicNow(), peer.replica);
     LogLine(LogLevel::Info, "replica-link-up").with("replica", toText(peer.replica));
 }
 
 void SteeringNode::onClosed(LinkHandle link, const NodeHello &peer)
 {
     LogLine(LogLevel::Warning, "replica-link-lost").with("replica", toText(peer.replica)).with("ready", m_ready);
-    m_offers.erase(link);
-    m_choice.lost(monotonicNow(), peer.replica);
+    m_offeredVersions.erase(link);
+    m_replicaSelector.onLinkLost(monotonicNow(), peer.replica);
     m_follower.lost(peer.replica);
-    m_following.erase(peer.replica);
+    m_directoryLinks.erase(peer.replica);
     const bool others = !m_links.dialled().empty();
-    if (others && m_lists.erase(peer.replica) > 0) {
-        knowReplicas();
+    if (others && m_replicaLists.erase(peer.replica) > 0) {
+        updateReplicas();
     }
 }
 
@@ -240,17 +241,17 @@
 {
     if (const auto *page = std::get_if<DirectoryPage>(&message)) {
         onPage(link, peer.replica, *page);
-    } else if (const auto *gone = std::get_if<TargetsUnreachable>(&message)) {
-        onUnreachable(*gone);
+    } else if (const auto *unreachable = std::get_if<TargetsUnreachable>(&message)) {
+        onUnreachable(*unreachable);
     } else if (const auto *list = std::get_if<ReplicaList>(&message)) {
-        m_lists[peer.replica] = list->replicas;
-        knowReplicas();
+        m_replicaLists[peer.replica] = list->replicas;
+        updateReplicas();
     } else if (const auto *offer = std::get_if<RoutingOffer>(&message)) {
         if (offer->confirmed) {
-            m_choice.confirmed(monotonicNow(), peer.replica);
+            m_replicaSelector.onQuorumConfirmed(monotonicNow(), peer.replica);
         }
         onOffer(link, *offer);
-        chooseReplicas();
+        selectReplicas();
     } else if (const auto *update = std::get_if<RoutingUpdate>(&message)) {
         onUpdate(*update);
     }
@@ -263,8 +264,8 @@
     case PageVerdict::Taken:
         break;
     case PageVerdict::Completed:
-        m_choice.completed(replica);
-        chooseReplicas();
+        m_replicaSelector.onDirectoryComplete(replica);
+        selectReplicas();
         break;
     case PageVerdict::Gap:
         LogLine(LogLevel::Warning, "directory-gap").with("replica", toText(replica)).with("after", page.after);
@@ -274,24 +275,24 @@
         LogLine(LogLevel::Error, "directory-page-malformed").with("replica", toText(replica)).with("after", page.after);
         return;
     }
-    // With part of a directory, all openings would go to the few targets of its first pages.
+    // Held packets wait for the last page: with a partial directory all new flows would go to the targets of its first pages.
     if (!m_informed && page.last) {
-        m_onLearnt();
+        m_onRoutingData();
     }
 }
 
 // ---- Targets that are gone ----
 
-void SteeringNode::onResets(std::function<void(std::span<const FlowReset>)> send)
+void SteeringNode::setResetHandler(std::function<void(std::span<const FlowReset>)> sendResets)
 {
-    m_sendResets = std::move(send);
+    m_sendResets = std::move(sendResets);
 }
 
 void SteeringNode::onUnreachable(const TargetsUnreachable &list)
 {
     const TimePoint now = monotonicNow();
     for (const TargetKey key : list.keys) {
-        if (m_findings.unreachable(now, list.finder, key) && m_steering.targets().takeForGone(now, key)) {
+        if (m_probeFindings.unreachable(now, list.finder, key) && m_steering.targets().declareGone(now, key)) {
             LogLine(LogLevel::Info, "target-gone").with("target", value(key)).with("replica", toText(list.finder.replica));
         }
     }
@@ -301,8 +302,8 @@
 void SteeringNode::reportUnanswered()
 {
     const TargetsUnanswered unanswered{m_steering.takeUnanswered()};
-    if (!unanswered.keys.empty() && m_choice.source()) {
-        m_links.send(m_links.linkTo(*m_choice.source()), unanswered);
+    if (!unanswered.keys.empty() && m_replicaSelector.source()) {
+        m_links.send(m_links.linkTo(*m_replicaSelector.source()), unanswered);
     }
 }
 
@@ -332,16 +333,16 @@
 
 void SteeringNode::onOffer(LinkHandle link, const RoutingOffer &offer)
 {
-    m_offers[link] = offer.progress.version;
+    m_offeredVersions[link] = offer.progress.version;
     if (offer.confirmed) {
         m_confirmedVersion = std::max(m_confirmedVersion, offer.progress.version);
     }
-    drain(offer);
-    fetchIfBehind(monotonicNow());
+    applyDrains(offer);
+    requestTableIfBehind(monotonicNow());
 }
 
-// Each offer carries the drains in full, so one that got lost is made up for by the next, 500 ms later.
-void SteeringNode::drain(const RoutingOffer &offer)
+// Each offer carries the full set of drained data centres, so a lost one is made up for by the next, 500 ms later.
+void SteeringNode::applyDrains(const RoutingOffer &offer)
 {
     if (offer.progress.drainRevision <= m_drainRevision) {
         return;
@@ -351,15 +352,15 @@
     LogLine(LogLevel::Info, "data-centres-drained").with("revision", m_drainRevision).with("drained", offer.drained.size());
 }
 
-void SteeringNode::fetchIfBehind(TimePoint now)
+void SteeringNode::requestTableIfBehind(TimePoint now)
 {
     if (now < m_fetchDue) {
         return;
     }
     LinkHandle best = 0;
     std::uint64_t highest = m_steering.version();
-    for (const auto &[link, version] : m_offers) {
-        // Of equals take another replica than the one that was asked last, in case that one is stuck.
+    for (const auto &[link, version] : m_offeredVersions) {
+        // Of replicas with the same version, prefer another one than was asked last, in case that one does not answer.
         const bool preferred = version == highest && best == m_fetchedFrom && best != 0;
         if (version > highest || preferred) {
             best = link;
@@ -380,17 +381,17 @@
     const TimePoint now = monotonicNow();
     if (m_fetching) {
         m_fetching = false;
-        m_fetchDue = now + RoutingFetchPause;
+        m_fetchDue = now + MinRoutingFetchInterval;
     }
     if (m_steering.apply(update.table)) {
         LogLine(LogLevel::Info, "routing-applied").with("version", update.table.version).with("routes", update.table.routes.size());
         if (!m_informed) {
-            m_onLearnt();
+            m_onRoutingData();
         }
     }
 }
 
-// ---- Small questions ----
+// ---- Counters and metrics ----
 
 void SteeringNode::countHeldTooLong(std::uint64_t packets)
 {
--- a/src/steering_targets.cpp
+++ b/src/steering_targets.cpp
@@ -17,41 +17,41 @@
     return FlowToken{hash != 0 ? hash : 1};
 }
 
-void SteeringTargets::take(TimePoint now, ReplicaId replica, const TargetStatus &news)
+void SteeringTargets::take(TimePoint now, ReplicaId replica, const TargetStatus &status)
 {
-    const auto [at, added] = m_targets.try_emplace(news.record.key);
+    const auto [at, added] = m_targets.try_emplace(status.record.key);
     SteeredTarget &target = at->second;
-    if (news.silent) {
-        target.vouchers.erase(replica);
+    if (status.silent) {
+        target.reportedAliveBy.erase(replica);
     } else {
-        target.vouchers.insert(replica);
+        target.reportedAliveBy.insert(replica);
         target.goneUntil = {};
     }
-    if (!added && !news.record.supersedes(target.record)) {
+    if (!added && !status.record.supersedes(target.record)) {
         return;
     }
     if (!added) {
         remove(target);
     }
-    if (news.record.phase == TargetPhase::Left && (added || target.record.phase != TargetPhase::Left)) {
+    if (status.record.phase == TargetPhase::Left && (added || target.record.phase != TargetPhase::Left)) {
         target.leftAt = now;
     }
-    if (added || news.record.born != target.record.born) {
-        // Flows of a former lifetime are reset by the target itself, which does not know them.
-        sawAlive(now, target);
+    if (added || status.record.born != target.record.born) {
+        // Flows of the former lifetime are reset by the target itself, as it does not know them.
+        markAlive(now, target);
     }
-    target.record = news.record;
-    target.token = tokenOf(news.record.key);
-    target.warmAt = std::max(target.warmAt, now + news.record.warmupLeft);
+    target.record = status.record;
+    target.token = tokenOf(status.record.key);
+    target.warmupEnd = std::max(target.warmupEnd, now + status.record.warmupLeft);
     add(target);
 }
 
 void SteeringTargets::add(SteeredTarget &target)
 {
-    // Two lifetimes may share a token: about 3e-6 among 150 targets, about one pair among 89,000. The one
-    // that was known first keeps it; the other gets no flows, so that no packet goes astray.
+    // Two lifetimes may have the same token: with a probability of about 3e-6 among 150 targets, and about one pair among
+    // 89,000. The one known first keeps it; the other gets no flows, so that no packet is misrouted.
     const auto [at, added] = m_tokens.try_emplace(value(target.token), &target);
-    target.ambiguous = !added && at->second != &target;
+    target.tokenCollision = !added && at->second != &target;
     if (target.record.phase != TargetPhase::Left) {
         m_services[target.record.service].push_back(&target);
     }
@@ -69,21 +69,21 @@
     }
 }
 
-void SteeringTargets::forgetReplica(ReplicaId replica, bool others)
+void SteeringTargets::dropReplicaReports(ReplicaId replica, bool othersLeft)
 {
-    if (!others) {
+    if (!othersLeft) {
         return;
     }
     for (auto &[key, target] : m_targets) {
-        target.vouchers.erase(replica);
+        target.reportedAliveBy.erase(replica);
     }
 }
 
-void SteeringTargets::keepVouched(ReplicaId replica, const std::set<TargetKey> &told)
+void SteeringTargets::withdrawReportsExcept(ReplicaId replica, const std::set<TargetKey> &listed)
 {
     for (auto &[key, target] : m_targets) {
-        if (!told.contains(key)) {
-            target.vouchers.erase(replica);
+        if (!listed.contains(key)) {
+            target.reportedAliveBy.erase(replica);
         }
     }
 }
@@ -93,16 +93,16 @@
     m_source = replica;
 }
 
-bool SteeringTargets::vouched(const SteeredTarget &target) const
+bool SteeringTargets::reportedAlive(const SteeredTarget &target) const
 {
-    return m_source ? target.vouchers.contains(*m_source) : !target.vouchers.empty();
+    return m_source ? target.reportedAliveBy.contains(*m_source) : !target.reportedAliveBy.empty();
 }
 
-void SteeringTargets::warmUp(DataCentreId dataCentre, TimePoint until)
+void SteeringTargets::startWarmup(DataCentreId dataCentre, TimePoint until)
 {
     for (auto &[key, target] : m_targets) {
         if (target.record.dataCentre == dataCentre) {
-            target.warmAt = std::max(target.warmAt, until);
+            target.warmupEnd = std::max(target.warmupEnd, until);
         }
     }
 }
@@ -112,8 +112,8 @@
     for (auto at = m_targets.begin(); at != m_targets.end();) {
         SteeredTarget &target = at->second;
         const bool left = target.record.phase == TargetPhase::Left;
-        const bool over = left ? now - target.leftAt >= RememberLeft : !vouched(target) && now - target.alive >= ForgetSilent;
-        if (over && target.flows == 0) {
+        const bool expired = left ? now - target.leftAt >= RememberLeft : !reportedAlive(target) && now - target.lastAlive >= ForgetSilent;
+        if (expired && target.flows == 0) {
             remove(target);
             at = m_targets.erase(at);
         } else {
@@ -122,47 +122,47 @@
     }
 }
 
-void SteeringTargets::suspect(TimePoint now, SteeredTarget &target)
+void SteeringTargets::markSuspect(TimePoint now, SteeredTarget &target)
 {
-    if (target.suspect(now)) {
+    if (target.isSuspect(now)) {
         return;
     }
-    target.suspicion = target.suspicion == Duration{0} ? FirstSuspicion : std::min(target.suspicion * 2, MaxSuspicion);
+    target.suspicion = target.suspicion == Duration{0} ? InitialSuspicion : std::min(target.suspicion * 2, MaxSuspicion);
     target.suspectUntil = now + target.suspicion;
 }
 
-void SteeringTargets::sawAlive(TimePoint now, SteeredTarget &target)
+void SteeringTargets::markAlive(TimePoint now, SteeredTarget &target)
 {
-    target.alive = now;
-    target.flowsOver = false;
+    target.lastAlive = now;
+    target.resetPending = false;
     target.goneUntil = {};
     target.suspicion = {};
     target.suspectUntil = {};
 }
 
-bool SteeringTargets::takeForGone(TimePoint now, TargetKey key)
+bool SteeringTargets::declareGone(TimePoint now, TargetKey key)
 {
     const auto at = m_targets.find(key);
-    if (at == m_targets.end() || now - at->second.alive < RecentLife) {
+    if (at == m_targets.end() || now - at->second.lastAlive < RecentLife) {
         return false;
     }
-    at->second.flowsOver = true;
-    at->second.goneUntil = now + GoneMemory;
-    m_flowsOver.push_back(key);
-    suspect(now, at->second);
+    at->second.resetPending = true;
+    at->second.goneUntil = now + GoneDuration;
+    m_resetPending.push_back(key);
+    markSuspect(now, at->second);
     return true;
 }
 
-bool SteeringTargets::anyFlowsOver() const
+bool SteeringTargets::anyResetPending() const
 {
-    return !m_flowsOver.empty();
+    return !m_resetPending.empty();
 }
 
-void SteeringTargets::clearFlowsOver()
+void SteeringTargets::clearResetPending()
 {
-    for (const TargetKey key : std::exchange(m_flowsOver, {})) {
+    for (const TargetKey key : std::exchange(m_resetPending, {})) {
         if (const auto at = m_targets.find(key); at != m_targets.end()) {
-            at->second.flowsOver = false;
+            at->second.resetPending = false;
         }
     }
 }
