--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -268,9 +268,9 @@
 {
     BasicTargetExchange<Links> &exchange = *replica.exchange;
     if (const auto *news = std::get_if<TargetStatusList>(&message)) {
-        exchange.onNews(m_now, link, *news);
-    } else if (const auto *heard = std::get_if<TargetsHeard>(&message)) {
-        exchange.onHeard(m_now, link, *heard);
+        exchange.onTargetStatuses(m_now, link, *news);
+    } else if (const auto *heard = std::get_if<TargetLeaseUpdate>(&message)) {
+        exchange.onLeaseUpdate(m_now, link, *heard);
     } else if (const auto *receipts = std::get_if<TargetReceipts>(&message)) {
         exchange.onReceipts(m_now, peer, *receipts);
     } else if (const auto *digest = std::get_if<DirectoryDigest>(&message)) {
@@ -279,7 +279,7 @@
         exchange.onCompare(m_now, link, *compare);
     } else if (const auto *query = std::get_if<DirectoryQuery>(&message)) {
         exchange.onQuery(m_now, link, *query);
-    } else if (const auto *answered = std::get_if<DirectoryAnswered>(&message)) {
+    } else if (const auto *answered = std::get_if<DirectoryQueryDone>(&message)) {
         exchange.onAnswered(link, *answered);
     }
 }
--- a/spec/directory.pml
+++ b/spec/directory.pml
@@ -33,8 +33,8 @@
 /* What the replica keeps of its follower. */
 bool linked = false;
 byte sent = 0;
-byte listedFrom = 0;
-bool toldLast = false;
+byte snapshotStart = 0;
+bool sentLastPage = false;
 
 /* The follower. */
 byte knownLife = 0;
@@ -74,22 +74,22 @@
 
 inline begin(from) {
     sent = from;
-    toldLast = false;
+    sentLastPage = false;
     if
-    :: from == 0 -> listedFrom = newest
-    :: else -> listedFrom = 0
+    :: from == 0 -> snapshotStart = newest
+    :: else -> snapshotStart = 0
     fi
 }
 
 inline publish() {
 #ifndef MUTATE_FORGET_QUIETLY
     if
-    :: sent < forgotten && listedFrom < forgotten -> begin(0)
+    :: sent < forgotten && snapshotStart < forgotten -> begin(0)
     :: else -> skip
     fi;
 #endif
     if
-    :: (sent != newest || !toldLast) && len(pages) < 3 ->
+    :: (sent != newest || !sentLastPage) && len(pages) < 3 ->
         byte first = 2;
         bool more = false;
         if
@@ -110,7 +110,7 @@
         fi;
         sent = upTo;
         if
-        :: upTo == newest -> toldLast = true; listedFrom = 0
+        :: upTo == newest -> sentLastPage = true; snapshotStart = 0
         :: else -> skip
         fi;
         first = 2; more = false; upTo = 0
--- a/src/announcement_choice.h
+++ b/src/announcement_choice.h
@@ -17,13 +17,13 @@
 
 // One announcement in so many tells a target where to go. A replica that has come back gets its targets again over so
 // many announcements, and not all their connections within one.
-inline constexpr std::uint64_t AnnouncementsPerMove = 4;
+inline constexpr std::uint64_t AnnouncementsPerRedirect = 4;
 
 // The replica for a target, one of those that can be reached; empty if it is not told with this announcement. Replicas of
 // its data centre go first, and targets spread over equals by rendezvous hashing.
 inline std::optional<ReplicaId> announcementReplica(const TargetRecord &record, std::span<const ReplicaPlace> reachable)
 {
-    const bool told = (record.sequence + hashPair(value(record.key), 0)) % AnnouncementsPerMove == 0;
+    const bool told = (record.sequence + hashPair(value(record.key), 0)) % AnnouncementsPerRedirect == 0;
     if (!told || reachable.empty()) {
         return std::nullopt;
     }
--- a/src/data_centre_drains.h
+++ b/src/data_centre_drains.h
@@ -16,11 +16,11 @@
 namespace Robinrail {
 
 // An operator's order: empty a data centre of new flows, or take it back.
-struct DataCentreOrder {
+struct DataCentreDrainOrder {
     std::string dataCentre;
     bool drained = true;
 
-    bool operator==(const DataCentreOrder &) const = default;
+    bool operator==(const DataCentreDrainOrder &) const = default;
 
     auto fields()
     {
@@ -32,7 +32,7 @@
 {
 public:
     // Puts an order in force; whether that changed anything.
-    bool apply(const DataCentreOrder &order)
+    bool apply(const DataCentreDrainOrder &order)
     {
         const auto at = std::lower_bound(m_drained.begin(), m_drained.end(), order.dataCentre);
         const bool drained = at != m_drained.end() && *at == order.dataCentre;
--- a/src/directory_answers.h
+++ b/src/directory_answers.h
@@ -13,11 +13,11 @@
 // Targets that are sent to all askers together in one turn: 2 ms of a processor.
 inline constexpr std::size_t MaxAnswersPerTurn = 1024;
 
-class DirectoryAnswers
+class DirectoryResponder
 {
 public:
     // Answers from `directory`, which must outlive it.
-    explicit DirectoryAnswers(const TargetDirectory &directory)
+    explicit DirectoryResponder(const TargetDirectory &directory)
         : m_directory(directory)
     {
     }
@@ -40,14 +40,14 @@
         std::size_t left = MaxAnswersPerTurn;
         for (auto at = m_open.begin(); at != m_open.end();) {
             auto &[link, keys] = *at;
-            while (!keys.empty() && left > 0 && links.buffered(link) < MaxBuffered) {
+            while (!keys.empty() && left > 0 && links.buffered(link) < MaxFollowerBacklog) {
                 left -= std::min(left, sendPiece(now, link, keys, links));
             }
             if (!keys.empty()) {
                 ++at;
                 continue;
             }
-            links.sendEncoded(link, encodeMessage(NodeMessage(DirectoryAnswered{informed})));
+            links.sendEncoded(link, encodeMessage(NodeMessage(DirectoryQueryDone{informed})));
             at = m_open.erase(at);
         }
     }
--- a/src/directory_digest.cpp
+++ b/src/directory_digest.cpp
@@ -22,17 +22,17 @@
 
 } // namespace
 
-bool DirectoryCompare::isSound() const
+bool DirectoryCompare::isValid() const
 {
     return isBucketCount(buckets);
 }
 
-bool DirectoryDigest::isSound() const
+bool DirectoryDigest::isValid() const
 {
     return buckets.empty() || isBucketCount(buckets.size());
 }
 
-bool DirectoryQuery::isSound() const
+bool DirectoryQuery::isValid() const
 {
     return isBucketCount(buckets) && wanted.size() <= buckets && std::all_of(wanted.begin(), wanted.end(), [this](std::uint32_t bucket) {
                return bucket < buckets;
--- a/src/directory_digest.h
+++ b/src/directory_digest.h
@@ -34,7 +34,7 @@
     }
 
     // Whether the number of parts is one that a replica sends.
-    bool isSound() const;
+    bool isValid() const;
 };
 
 // The answer: a hash for each part, so many as were named in the question. The part of a target follows from its key.
@@ -47,7 +47,7 @@
         return std::tie(informed, buckets);
     }
 
-    bool isSound() const;
+    bool isValid() const;
 };
 
 // Asks for the targets of these parts, of so many in all.
@@ -60,11 +60,11 @@
         return std::tie(buckets, wanted);
     }
 
-    bool isSound() const;
+    bool isValid() const;
 };
 
 // All that was asked for has been sent.
-struct DirectoryAnswered {
+struct DirectoryQueryDone {
     bool informed = false; // As in DirectoryDigest, by now.
 
     auto fields()
--- a/src/directory_follower.cpp
+++ b/src/directory_follower.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-bool isSound(const DirectoryPage &page)
+bool isValid(const DirectoryPage &page)
 {
     return page.life != 0 && page.upTo >= page.after && std::all_of(page.targets.begin(), page.targets.end(), [&page](const ListedTarget &target) {
                return target.service < page.services.size();
@@ -47,17 +47,17 @@
     return goesOn ? FollowDirectory{at->second.life, at->second.number} : FollowDirectory{};
 }
 
-PageVerdict DirectoryFollower::take(TimePoint now, ReplicaId replica, const DirectoryPage &page)
+PageResult DirectoryFollower::take(TimePoint now, ReplicaId replica, const DirectoryPage &page)
 {
-    if (!isSound(page)) {
-        return PageVerdict::Malformed;
+    if (!isValid(page)) {
+        return PageResult::Malformed;
     }
     Progress &progress = m_progress[replica];
     if (page.after == 0) {
         progress = {page.life, 0, true, {}};
     } else if (page.life != progress.life || page.after != progress.number) {
         m_progress.erase(replica);
-        return PageVerdict::Gap;
+        return PageResult::Gap;
     }
     for (const ListedTarget &listed : page.targets) {
         m_targets.take(now, replica, statusOf(listed, page.services));
@@ -69,7 +69,7 @@
     if (page.last && std::exchange(progress.listing, false)) {
         m_targets.keepVouched(replica, std::exchange(progress.listed, {}));
     }
-    return page.last && page.informed ? PageVerdict::Completed : PageVerdict::Taken;
+    return page.last && page.informed ? PageResult::Completed : PageResult::Taken;
 }
 
 void DirectoryFollower::lost(ReplicaId replica)
--- a/src/directory_follower.h
+++ b/src/directory_follower.h
@@ -12,7 +12,7 @@
 namespace Robinrail {
 
 // What came of a page.
-enum class PageVerdict : std::uint8_t {
+enum class PageResult : std::uint8_t {
     Taken,
     Completed, // And with it all that the replica knows is known here.
     Gap, // It does not follow what was taken before: ask anew with request().
@@ -28,7 +28,7 @@
     // What to ask this replica for: what follows the pages taken, or all.
     FollowDirectory request(ReplicaId replica) const;
 
-    PageVerdict take(TimePoint now, ReplicaId replica, const DirectoryPage &page);
+    PageResult take(TimePoint now, ReplicaId replica, const DirectoryPage &page);
 
     // The link to a replica is gone. What it told is kept, so that it need only tell the difference later.
     void lost(ReplicaId replica);
--- a/src/directory_log.cpp
+++ b/src/directory_log.cpp
@@ -45,10 +45,10 @@
 std::uint64_t DirectoryLog::resume(std::uint64_t life, std::uint64_t after) const
 {
     const bool known = life == m_life && after <= m_newest;
-    return known && tellsAllAfter(after) ? after : 0;
+    return known && isCompleteAfter(after) ? after : 0;
 }
 
-bool DirectoryLog::tellsAllAfter(std::uint64_t number) const
+bool DirectoryLog::isCompleteAfter(std::uint64_t number) const
 {
     return number >= m_forgotten;
 }
--- a/src/directory_log.h
+++ b/src/directory_log.h
@@ -46,7 +46,7 @@
     std::uint64_t resume(std::uint64_t life, std::uint64_t after) const;
 
     // Whether all changes after a number can still be told: no target that changed since was forgotten.
-    bool tellsAllAfter(std::uint64_t number) const;
+    bool isCompleteAfter(std::uint64_t number) const;
 
     // What changed after a number, at most so many targets.
     DirectoryLogSlice after(std::uint64_t number, std::size_t most) const;
--- a/src/directory_publisher.cpp
+++ b/src/directory_publisher.cpp
@@ -82,7 +82,7 @@
 
 bool DirectoryPublisher::owes(const Follower &follower, bool informed) const
 {
-    return follower.number != m_log.newest() || !follower.toldLast || (informed && !follower.toldInformed);
+    return follower.number != m_log.newest() || !follower.sentLastPage || (informed && !follower.sentInformed);
 }
 
 const DirectoryPublisher::Page &DirectoryPublisher::pageAfter(TimePoint now, bool informed, std::uint64_t number)
--- a/src/directory_publisher.h
+++ b/src/directory_publisher.h
@@ -24,7 +24,7 @@
 inline constexpr std::size_t PageTargets = 128;
 
 // Pages are sent to a follower while less than this waits to be written to it, bytes: 65 ms on a link of 2 Mbit/s.
-inline constexpr std::size_t MaxBuffered = std::size_t{16} << 10U;
+inline constexpr std::size_t MaxFollowerBacklog = std::size_t{16} << 10U;
 
 // A page that was made for one follower is good for others for so long: after a loss of power hundreds ask at once, and
 // a page takes longer to encode than to send. What changed meanwhile follows under higher numbers.
@@ -78,9 +78,9 @@
 private:
     struct Follower {
         std::uint64_t number = 0; // It was sent all changes up to this one.
-        std::uint64_t listedFrom = 0; // The newest number when it began to get the whole; 0 once it has it.
-        bool toldLast = false; // It was told that it has them all, at some moment.
-        bool toldInformed = false; // The same by an informed replica.
+        std::uint64_t snapshotStart = 0; // The newest number when it began to get the whole; 0 once it has it.
+        bool sentLastPage = false; // It was told that it has them all, at some moment.
+        bool sentInformed = false; // The same by an informed replica.
     };
     struct Page {
         TimePoint made;
@@ -93,16 +93,16 @@
     template<PageLinks Links>
     void serve(TimePoint now, bool informed, FollowerId id, Follower &follower, Links &links)
     {
-        if (!m_log.tellsAllAfter(std::max(follower.number, follower.listedFrom))) {
+        if (!m_log.isCompleteAfter(std::max(follower.number, follower.snapshotStart))) {
             follower = begun(0);
         }
-        while (owes(follower, informed) && links.buffered(id) < MaxBuffered) {
+        while (owes(follower, informed) && links.buffered(id) < MaxFollowerBacklog) {
             const Page &page = pageAfter(now, informed, follower.number);
             links.sendEncoded(id, page.bytes);
             follower.number = page.upTo;
-            follower.listedFrom = page.last ? 0 : follower.listedFrom;
-            follower.toldLast = follower.toldLast || page.last;
-            follower.toldInformed = follower.toldInformed || (page.last && page.informed);
+            follower.snapshotStart = page.last ? 0 : follower.snapshotStart;
+            follower.sentLastPage = follower.sentLastPage || page.last;
+            follower.sentInformed = follower.sentInformed || (page.last && page.informed);
         }
     }
 
--- a/src/directory_reconciler.cpp
+++ b/src/directory_reconciler.cpp
@@ -71,7 +71,7 @@
     }
 }
 
-void DirectoryReconciler::answered(ReplicaLinkId link, const DirectoryAnswered &answer)
+void DirectoryReconciler::answered(ReplicaLinkId link, const DirectoryQueryDone &answer)
 {
     if (isAsked(link)) {
         m_informed = m_informed || answer.informed;
--- a/src/directory_reconciler.h
+++ b/src/directory_reconciler.h
@@ -2,7 +2,7 @@
 // Directory reconciler: a replica's side of finding out what other replicas know of the targets and it does not.
 //
 // Replicas are asked one after the other, each for a digest of that moment: what all others know comes once and not once
-// from each, and what is told meanwhile on the links that are up does not count as a difference. DirectoryAnswers is the
+// from each, and what is told meanwhile on the links that are up does not count as a difference. DirectoryResponder is the
 // other side.
 #pragma once
 
@@ -45,7 +45,7 @@
 
     // Some of what was asked for may have come on this link; all of it has.
     void progressed(TimePoint now, ReplicaLinkId link);
-    void answered(ReplicaLinkId link, const DirectoryAnswered &answer);
+    void answered(ReplicaLinkId link, const DirectoryQueryDone &answer);
 
     // Whether all that a replica held that knew of all targets was taken.
     bool informed() const;
--- a/src/drain_confirmations.cpp
+++ b/src/drain_confirmations.cpp
@@ -5,7 +5,7 @@
 namespace Robinrail {
 
 DrainConfirmations::DrainConfirmations(const LossTolerance &borne, const ReplicaPlace &self)
-    : m_borne(borne)
+    : m_tolerance(borne)
     , m_self{{self.replica, self.dataCentre}}
 {
 }
@@ -13,7 +13,7 @@
 bool DrainConfirmations::confirmed(TargetLifetime lifetime, TargetPhase phase) const
 {
     const auto at = m_confirmed.find(lifetime.key);
-    return m_borne.isOutlivedBy(m_self) || (at != m_confirmed.end() && at->second.lifetime == lifetime && at->second.phase >= phase);
+    return m_tolerance.isMetBy(m_self) || (at != m_confirmed.end() && at->second.lifetime == lifetime && at->second.phase >= phase);
 }
 
 void DrainConfirmations::forget(TargetKey key)
@@ -23,7 +23,7 @@
 
 void DrainConfirmations::await(TimePoint now, TargetLifetime lifetime, TargetPhase phase, Respond respond)
 {
-    if (m_borne.isOutlivedBy(m_self)) {
+    if (m_tolerance.isMetBy(m_self)) {
         return respond(true);
     }
     m_open.emplace(lifetime, Open{phase, m_self, now + DrainAnswerTimeout, std::move(respond)});
@@ -37,7 +37,7 @@
         if (phase >= open.phase) {
             open.witnesses[from.replica] = from.dataCentre;
         }
-        if (!m_borne.isOutlivedBy(open.witnesses)) {
+        if (!m_tolerance.isMetBy(open.witnesses)) {
             ++at;
             continue;
         }
--- a/src/drain_confirmations.h
+++ b/src/drain_confirmations.h
@@ -43,13 +43,13 @@
 private:
     struct Open {
         TargetPhase phase = TargetPhase::Draining;
-        Witnesses witnesses;
+        ReplicaLocations witnesses;
         TimePoint deadline;
         Respond respond;
     };
 
-    LossTolerance m_borne;
-    Witnesses m_self;
+    LossTolerance m_tolerance;
+    ReplicaLocations m_self;
     std::multimap<TargetLifetime, Open> m_open;
     std::map<TargetKey, TargetReceipt> m_confirmed; // The latest of each target.
 };
--- a/src/heard_targets.cpp
+++ b/src/heard_targets.cpp
@@ -7,19 +7,19 @@
 
 namespace Robinrail {
 
-HeardTargets::HeardTargets(Duration lease)
+LocalTargetLeases::LocalTargetLeases(Duration lease)
     : m_lease(lease)
 {
 }
 
-void HeardTargets::heard(TimePoint now, TargetKey key)
+void LocalTargetLeases::heard(TimePoint now, TargetKey key)
 {
     m_heard[key].at = now;
 }
 
-TargetsHeard HeardTargets::changes(TimePoint now)
+TargetLeaseUpdate LocalTargetLeases::changes(TimePoint now)
 {
-    TargetsHeard beat;
+    TargetLeaseUpdate beat;
     for (auto at = m_heard.begin(); at != m_heard.end();) {
         auto &[key, heard] = *at;
         const Duration age = now - heard.at;
@@ -38,9 +38,9 @@
     return beat;
 }
 
-TargetsHeard HeardTargets::whole() const
+TargetLeaseUpdate LocalTargetLeases::whole() const
 {
-    TargetsHeard beat;
+    TargetLeaseUpdate beat;
     for (const auto &[key, heard] : m_heard) {
         if (heard.told) {
             beat.heard.push_back(key);
@@ -49,15 +49,15 @@
     return beat;
 }
 
-bool HeardTargets::vouchesFor(TargetKey key) const
+bool LocalTargetLeases::holdsLease(TargetKey key) const
 {
     return m_heard.contains(key);
 }
 
-std::span<const TargetKey> HeardElsewhere::take(std::uint64_t link, const TargetsHeard &beat)
+std::span<const TargetKey> PeerTargetLeases::take(std::uint64_t link, const TargetLeaseUpdate &beat)
 {
     std::vector<TargetKey> &keys = m_links[link];
-    for (const MissedTarget &missed : beat.missed) {
+    for (const ExpiredLease &missed : beat.missed) {
         const auto at = std::lower_bound(keys.begin(), keys.end(), missed.key);
         if (at != keys.end() && *at == missed.key) {
             keys.erase(at);
@@ -71,12 +71,12 @@
     return keys;
 }
 
-void HeardElsewhere::closed(std::uint64_t link)
+void PeerTargetLeases::closed(std::uint64_t link)
 {
     m_links.erase(link);
 }
 
-bool HeardElsewhere::vouchesFor(TargetKey key) const
+bool PeerTargetLeases::holdsLease(TargetKey key) const
 {
     return std::any_of(m_links.begin(), m_links.end(), [key](const auto &each) {
         return std::binary_search(each.second.begin(), each.second.end(), key);
--- a/src/heard_targets.h
+++ b/src/heard_targets.h
@@ -16,7 +16,7 @@
 namespace Robinrail {
 
 // A target that is vouched for no more, and when it was heard last.
-struct MissedTarget {
+struct ExpiredLease {
     TargetKey key{};
     Duration age{};
 
@@ -28,9 +28,9 @@
 
 // A beat: the sender still hears all targets that it named on this link, but for those missed. The first beat on a link
 // names all.
-struct TargetsHeard {
+struct TargetLeaseUpdate {
     std::vector<TargetKey> heard;
-    std::vector<MissedTarget> missed;
+    std::vector<ExpiredLease> missed;
 
     auto fields()
     {
@@ -39,21 +39,21 @@
 };
 
 // The targets that this replica hears.
-class HeardTargets
+class LocalTargetLeases
 {
 public:
     // A target is vouched for until it was not heard for `lease`.
-    explicit HeardTargets(Duration lease);
+    explicit LocalTargetLeases(Duration lease);
 
     void heard(TimePoint now, TargetKey key);
 
     // What the others don't know yet: who came and who was missed since the last call.
-    TargetsHeard changes(TimePoint now);
+    TargetLeaseUpdate changes(TimePoint now);
 
     // All that were vouched for at the last call of changes(), for a link on which nothing was told.
-    TargetsHeard whole() const;
+    TargetLeaseUpdate whole() const;
 
-    bool vouchesFor(TargetKey key) const;
+    bool holdsLease(TargetKey key) const;
 
 private:
     struct Heard {
@@ -66,17 +66,17 @@
 };
 
 // The targets that other replicas hear, by the links on which they say so.
-class HeardElsewhere
+class PeerTargetLeases
 {
 public:
     // Takes a beat; all targets that the sender vouches for with it.
-    std::span<const TargetKey> take(std::uint64_t link, const TargetsHeard &beat);
+    std::span<const TargetKey> take(std::uint64_t link, const TargetLeaseUpdate &beat);
 
     // The link is gone, and the word that was given on it.
     void closed(std::uint64_t link);
 
     // Whether any of them vouches for a target.
-    bool vouchesFor(TargetKey key) const;
+    bool holdsLease(TargetKey key) const;
 
 private:
     std::map<std::uint64_t, std::vector<TargetKey>> m_links; // Sorted.
--- a/src/loss_tolerance.h
+++ b/src/loss_tolerance.h
@@ -13,14 +13,14 @@
 namespace Robinrail {
 
 // The replicas that know of something, by where they are.
-using Witnesses = std::map<ReplicaId, DataCentreId>;
+using ReplicaLocations = std::map<ReplicaId, DataCentreId>;
 
 struct LossTolerance {
     std::size_t replicas = 0; // So many replicas may be lost at once, with their disks,
     std::size_t dataCentres = 0; // or all replicas of so many data centres.
 
     // Whether any such loss leaves one of the witnesses.
-    bool isOutlivedBy(const Witnesses &witnesses) const
+    bool isMetBy(const ReplicaLocations &witnesses) const
     {
         std::set<DataCentreId> places;
         for (const auto &[replica, dataCentre] : witnesses) {
--- a/src/news_batch.h
+++ b/src/news_batch.h
@@ -3,7 +3,7 @@
 //
 // The pattern that it answers: a release changes thousands of targets within seconds, and each change told to each other
 // replica by a message of its own costs changes x replicas of them. The first change after a pause is told at once; what
-// follows within NewsInterval shares one message, however much it is.
+// follows within ReplicaUpdateInterval shares one message, however much it is.
 #pragma once
 
 #include "target_record.h"
@@ -15,9 +15,9 @@
 
 // The other replicas are told of changes this often at most. A drain waits for it at worst; callers notice nothing, as
 // a draining target serves on for seconds.
-inline constexpr Duration NewsInterval = std::chrono::milliseconds(25);
+inline constexpr Duration ReplicaUpdateInterval = std::chrono::milliseconds(25);
 
-class NewsBatch
+class ChangeBatch
 {
 public:
     // The others must hear of this target; twice is once.
@@ -32,7 +32,7 @@
         if (m_waiting.empty() || now < m_due) {
             return {};
         }
-        m_due = now + NewsInterval;
+        m_due = now + ReplicaUpdateInterval;
         std::vector<TargetKey> keys(m_waiting.begin(), m_waiting.end());
         m_waiting.clear();
         return keys;
--- a/src/node_message.h
+++ b/src/node_message.h
@@ -200,7 +200,7 @@
                                  ReplicaList,
                                  TargetStatusList,
                                  DirectoryDigest,
-                                 TargetsHeard,
+                                 TargetLeaseUpdate,
                                  TargetReceipts,
                                  RoutingOffer,
                                  RoutingRequest,
@@ -210,7 +210,7 @@
                                  FollowDirectory,
                                  DirectoryPage,
                                  DirectoryQuery,
-                                 DirectoryAnswered,
+                                 DirectoryQueryDone,
                                  DirectoryCompare>;
 
 // What each kind of message is called in figures, in the order of the variant.
--- a/src/replica_calls.cpp
+++ b/src/replica_calls.cpp
@@ -52,7 +52,7 @@
 }
 
 // Other than a version, an order that was in force may have been withdrawn since: only its own commit answers it.
-void ReplicaNode::submit(const DataCentreOrder &order, Respond respond)
+void ReplicaNode::submit(const DataCentreDrainOrder &order, Respond respond)
 {
     if (!m_driver) {
         return respond(ReplicaAnswer::Unavailable);
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -345,9 +345,9 @@
     if (const auto *envelope = std::get_if<RaftEnvelope>(&message)) {
         onRaft(*envelope);
     } else if (const auto *news = std::get_if<TargetStatusList>(&message)) {
-        m_targets.onNews(monotonicNow(), link, *news);
-    } else if (const auto *heard = std::get_if<TargetsHeard>(&message)) {
-        m_targets.onHeard(monotonicNow(), link, *heard);
+        m_targets.onTargetStatuses(monotonicNow(), link, *news);
+    } else if (const auto *heard = std::get_if<TargetLeaseUpdate>(&message)) {
+        m_targets.onLeaseUpdate(monotonicNow(), link, *heard);
     } else if (const auto *offered = std::get_if<RoutingOffer>(&message)) {
         m_versions.sawInForce(offered->progress);
     } else if (const auto *receipts = std::get_if<TargetReceipts>(&message)) {
@@ -358,7 +358,7 @@
         m_targets.onCompare(monotonicNow(), link, *compare);
     } else if (const auto *query = std::get_if<DirectoryQuery>(&message)) {
         m_targets.onQuery(monotonicNow(), link, *query);
-    } else if (const auto *answered = std::get_if<DirectoryAnswered>(&message)) {
+    } else if (const auto *answered = std::get_if<DirectoryQueryDone>(&message)) {
         m_targets.onAnswered(link, *answered);
     } else if (const auto *gone = std::get_if<TargetsUnreachable>(&message); gone != nullptr && gone->finder.replica == peer.replica) {
         m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), *gone);
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -74,7 +74,7 @@
     void submit(const RoutingDocument &document, Respond respond);
 
     // An order to drain a data centre or to take it back. Done: it is in force for good, or until the opposite order.
-    void submit(const DataCentreOrder &order, Respond respond);
+    void submit(const DataCentreDrainOrder &order, Respond respond);
 
     // A linearizable read: when it is Done, document() is the newest.
     void read(Respond respond);
--- a/src/routing_state.h
+++ b/src/routing_state.h
@@ -24,7 +24,7 @@
 };
 
 // A change as the log carries it. The order of the alternatives is the format on disk.
-using RoutingChange = std::variant<RoutingDocument, DataCentreOrder>;
+using RoutingChange = std::variant<RoutingDocument, DataCentreDrainOrder>;
 
 // The held version after a change, which is the proposed one or a higher one.
 struct RoutingResult {
@@ -71,7 +71,7 @@
         if (!change) {
             return {VersionVerdict::Conflict, m_document.table.version};
         }
-        if (const auto *order = std::get_if<DataCentreOrder>(&*change)) {
+        if (const auto *order = std::get_if<DataCentreDrainOrder>(&*change)) {
             const bool changed = m_drains.apply(*order);
             return {changed ? VersionVerdict::Apply : VersionVerdict::Superseded, m_document.table.version};
         }
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -260,17 +260,17 @@
 void SteeringNode::onPage(LinkHandle link, ReplicaId replica, const DirectoryPage &page)
 {
     switch (m_follower.take(monotonicNow(), replica, page)) {
-    case PageVerdict::Taken:
+    case PageResult::Taken:
         break;
-    case PageVerdict::Completed:
+    case PageResult::Completed:
         m_choice.completed(replica);
         chooseReplicas();
         break;
-    case PageVerdict::Gap:
+    case PageResult::Gap:
         LogLine(LogLevel::Warning, "directory-gap").with("replica", toText(replica)).with("after", page.after);
         m_links.send(link, m_follower.request(replica));
         return;
-    case PageVerdict::Malformed:
+    case PageResult::Malformed:
         LogLine(LogLevel::Error, "directory-page-malformed").with("replica", toText(replica)).with("after", page.after);
         return;
     }
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -114,7 +114,7 @@
     bool m_confirmed = false; // The table was the newest one once.
     bool m_informed = false;
     std::function<void()> m_onLearnt;
-    ProbeFindings m_findings;
+    ProbeResults m_findings;
     std::function<void(std::span<const FlowReset>)> m_sendResets;
     std::uint64_t m_flowsReset = 0;
     LogBudget m_resetLog;
--- a/src/steering_routes.cpp
+++ b/src/steering_routes.cpp
@@ -86,7 +86,7 @@
         if (seen == TimePoint{}) {
             seen = now;
         }
-        return now - seen >= RememberLeft;
+        return now - seen >= LeftTargetRetention;
     });
 }
 
--- a/src/steering_targets.cpp
+++ b/src/steering_targets.cpp
@@ -112,7 +112,7 @@
     for (auto at = m_targets.begin(); at != m_targets.end();) {
         SteeredTarget &target = at->second;
         const bool left = target.record.phase == TargetPhase::Left;
-        const bool over = left ? now - target.leftAt >= RememberLeft : !vouched(target) && now - target.alive >= ForgetSilent;
+        const bool over = left ? now - target.leftAt >= LeftTargetRetention : !vouched(target) && now - target.alive >= SilentTargetRetention;
         if (over && target.flows == 0) {
             remove(target);
             at = m_targets.erase(at);
@@ -143,7 +143,7 @@
 bool SteeringTargets::takeForGone(TimePoint now, TargetKey key)
 {
     const auto at = m_targets.find(key);
-    if (at == m_targets.end() || now - at->second.alive < RecentLife) {
+    if (at == m_targets.end() || now - at->second.alive < RecentActivityWindow) {
         return false;
     }
     at->second.flowsOver = true;
--- a/src/target_directory.cpp
+++ b/src/target_directory.cpp
@@ -29,9 +29,9 @@
     if (known != nullptr && record.born < known->born) {
         return news; // Held up on its way: its lifetime was ended by the one that is held.
     }
-    m_heardHere.push_back(record.key);
+    m_announcedHere.push_back(record.key);
     if (known == nullptr || known->phase != TargetPhase::Left || record.born > known->born) {
-        news = endOlderAt(now, record);
+        news = endOlderLifetimes(now, record);
     }
     if (std::optional<TargetStatus> own = take(now, {record, false, Duration{0}})) {
         news.push_back(std::move(*own));
@@ -44,7 +44,7 @@
 // come after its sender's end and its successor's first one. Hence a lifetime ends only those that were heard of before
 // it. A wrong end would be for good and reset live flows, so they must have missed their turn as well. A target that
 // restarts at once is there before that; this is therefore asked at each announcement and not only at the first.
-std::vector<TargetStatus> TargetDirectory::endOlderAt(TimePoint now, const TargetRecord &record)
+std::vector<TargetStatus> TargetDirectory::endOlderLifetimes(TimePoint now, const TargetRecord &record)
 {
     std::vector<TargetStatus> ended;
     const TimePoint since = firstHeard(now, record);
@@ -52,7 +52,7 @@
     for (auto at = first; at != last; ++at) {
         Entry &entry = m_entries.at(at->second);
         const bool older = at->second != record.key && entry.firstHeard < since && entry.record.phase != TargetPhase::Left;
-        if (older && missedTurn(now, entry)) {
+        if (older && isOverdue(now, entry)) {
             entry.record.phase = TargetPhase::Left;
             entry.heard = now;
             ended.push_back(newsOf(entry, now));
@@ -61,15 +61,15 @@
     return ended;
 }
 
-bool TargetDirectory::missedTurn(TimePoint now, const Entry &entry) const
+bool TargetDirectory::isOverdue(TimePoint now, const Entry &entry) const
 {
     return now - entry.heard >= m_silenceLimit / 2;
 }
 
-bool TargetDirectory::missedTurn(TimePoint now, TargetKey key) const
+bool TargetDirectory::isOverdue(TimePoint now, TargetKey key) const
 {
     const auto found = m_entries.find(key);
-    return found != m_entries.end() && missedTurn(now, found->second);
+    return found != m_entries.end() && isOverdue(now, found->second);
 }
 
 // Since when a lifetime is known. Of one that is new here its announcements tell: one for each interval. That is the
@@ -100,7 +100,7 @@
     if (news.record.born != entry.record.born) {
         return news.record.supersedes(entry.record) ? std::optional(beginLifetime(now, entry, news)) : std::nullopt;
     }
-    const bool cooled = coolerThan(news, entry, now);
+    const bool cooled = restartsWarmup(news, entry, now);
     entry.heard = std::max(entry.heard, now - news.age);
     entry.firstHeard = std::min(entry.firstHeard, now - news.known);
     const bool wasSilent = std::exchange(entry.silent, entry.silent && now - entry.heard >= m_silenceLimit);
@@ -124,7 +124,7 @@
 
 // Whether a target has begun to warm up anew without a restart, as after it rested: balancers, which count the time that
 // they were told down, must hear of it.
-bool TargetDirectory::coolerThan(const TargetStatus &news, const Entry &entry, TimePoint now)
+bool TargetDirectory::restartsWarmup(const TargetStatus &news, const Entry &entry, TimePoint now)
 {
     const TimePoint warm = now - news.age + news.record.warmupLeft;
     const TimePoint known = entry.heard + entry.record.warmupLeft;
@@ -177,7 +177,7 @@
     return back;
 }
 
-void TargetDirectory::missed(TimePoint now, const MissedTarget &target)
+void TargetDirectory::missed(TimePoint now, const ExpiredLease &target)
 {
     const auto found = m_entries.find(target.key);
     if (found != m_entries.end() && found->second.record.phase != TargetPhase::Left) {
@@ -197,7 +197,7 @@
     }
     std::erase_if(m_entries, [this, now](const auto &each) {
         const bool left = each.second.record.phase == TargetPhase::Left;
-        if (now - each.second.heard < (left ? RememberLeft : ForgetSilent)) {
+        if (now - each.second.heard < (left ? LeftTargetRetention : SilentTargetRetention)) {
             return false;
         }
         unindex(each.second.record);
@@ -207,9 +207,9 @@
     return fallen;
 }
 
-std::vector<TargetKey> TargetDirectory::takeHeardHere()
+std::vector<TargetKey> TargetDirectory::takeAnnouncedHere()
 {
-    return std::exchange(m_heardHere, {});
+    return std::exchange(m_announcedHere, {});
 }
 
 std::vector<TargetKey> TargetDirectory::takeForgotten()
--- a/src/target_directory.h
+++ b/src/target_directory.h
@@ -16,10 +16,10 @@
 
 // A target that left is remembered this long, so that its flows' packets are still told from unknown ones
 // and no late announcement revives it. The longest life of a flow, 60 s, and some slack.
-inline constexpr Duration RememberLeft = std::chrono::seconds(75);
+inline constexpr Duration LeftTargetRetention = std::chrono::seconds(75);
 
 // A target that nobody heard for this long is forgotten.
-inline constexpr Duration ForgetSilent = std::chrono::seconds(120);
+inline constexpr Duration SilentTargetRetention = std::chrono::seconds(120);
 
 // A warm-up that ends later than the known one by less is the same one, heard of with another delay. A quarter of the
 // shortest warm-up that targets have, 2 s.
@@ -49,17 +49,17 @@
     std::vector<TargetStatus> heard(TimePoint now, std::span<const TargetKey> keys);
 
     // A target that was taken for heard was heard last so long ago.
-    void missed(TimePoint now, const MissedTarget &target);
+    void missed(TimePoint now, const ExpiredLease &target);
 
     // Finds targets that fell silent, and forgets old ones.
     std::vector<TargetStatus> tick(TimePoint now);
 
     // Whether a target that is held has not announced itself anywhere for half of the time after which it counts as silent:
     // longer than between two announcements, and than word of them takes from another replica.
-    bool missedTurn(TimePoint now, TargetKey key) const;
+    bool isOverdue(TimePoint now, TargetKey key) const;
 
     // The targets that announced themselves here since the last call.
-    std::vector<TargetKey> takeHeardHere();
+    std::vector<TargetKey> takeAnnouncedHere();
 
     // The targets that were forgotten since the last call.
     std::vector<TargetKey> takeForgotten();
@@ -80,11 +80,11 @@
         TimePoint firstHeard; // By any replica.
         bool silent = false;
     };
-    bool missedTurn(TimePoint now, const Entry &entry) const;
-    std::vector<TargetStatus> endOlderAt(TimePoint now, const TargetRecord &record);
+    bool isOverdue(TimePoint now, const Entry &entry) const;
+    std::vector<TargetStatus> endOlderLifetimes(TimePoint now, const TargetRecord &record);
     TimePoint firstHeard(TimePoint now, const TargetRecord &record) const;
     TargetStatus beginLifetime(TimePoint now, Entry &entry, const TargetStatus &news);
-    static bool coolerThan(const TargetStatus &news, const Entry &entry, TimePoint now);
+    static bool restartsWarmup(const TargetStatus &news, const Entry &entry, TimePoint now);
     void setRecord(Entry &entry, const TargetRecord &record);
     void unindex(const TargetRecord &record);
     TargetStatus newsOf(const Entry &entry, TimePoint now) const;
@@ -93,7 +93,7 @@
     Duration m_silenceLimit;
     std::map<TargetKey, Entry> m_entries;
     std::multimap<Endpoint, TargetKey> m_addresses; // Of all entries.
-    std::vector<TargetKey> m_heardHere;
+    std::vector<TargetKey> m_announcedHere;
     std::vector<TargetKey> m_forgotten;
 };
 
--- a/src/target_exchange.h
+++ b/src/target_exchange.h
@@ -16,11 +16,11 @@
 
 // A replica vouches for a target for this many intervals after it was heard: until the next announcement is half an
 // interval late.
-inline constexpr double HeardLease = 1.5;
+inline constexpr double LeaseInAnnounceIntervals = 1.5;
 
 // Announcements that a target may miss before it counts as silent, and some slack for one that is sent to
 // another replica after a second without an answer.
-inline constexpr int MissedAnnouncements = 2;
+inline constexpr int MaxMissedAnnouncements = 2;
 inline constexpr Duration AnnouncementSlack = std::chrono::milliseconds(1200);
 
 // Followers are told of changes this often. Callers lose 200 ms at a target that has fallen silent and nothing at one that
@@ -62,7 +62,7 @@
         for (const TargetKey key : list.keys) {
             const TargetRecord *record = m_directory.find(key);
             if (record != nullptr && record->phase != TargetPhase::Left) {
-                probe(ReportedTarget{key, record->address, m_directory.missedTurn(now, key)});
+                probe(ReportedTarget{key, record->address, m_directory.isOverdue(now, key)});
             }
         }
     }
@@ -75,13 +75,13 @@
     void publish(TimePoint now);
 
     // What another replica says over its link.
-    void onNews(TimePoint now, ReplicaLinkId link, const TargetStatusList &list);
-    void onHeard(TimePoint now, ReplicaLinkId link, const TargetsHeard &beat);
+    void onTargetStatuses(TimePoint now, ReplicaLinkId link, const TargetStatusList &list);
+    void onLeaseUpdate(TimePoint now, ReplicaLinkId link, const TargetLeaseUpdate &beat);
     void onReceipts(TimePoint now, const ReplicaPlace &from, const TargetReceipts &list);
     void onCompare(TimePoint now, ReplicaLinkId link, const DirectoryCompare &compare);
     void onDigest(TimePoint now, ReplicaLinkId link, const DirectoryDigest &digest);
     void onQuery(TimePoint now, ReplicaLinkId link, const DirectoryQuery &query);
-    void onAnswered(ReplicaLinkId link, const DirectoryAnswered &answer);
+    void onAnswered(ReplicaLinkId link, const DirectoryQueryDone &answer);
 
     // A link to another replica is gone.
     void closed(ReplicaLinkId link);
@@ -115,24 +115,24 @@
 
 private:
     void spread(TimePoint now, const TargetStatus &news);
-    void tellReplicas(TimePoint now);
-    void tellFollowers(std::span<const TargetStatus> changed);
+    void notifyReplicas(TimePoint now);
+    void notifyFollowers(std::span<const TargetStatus> changed);
     void confirm(TimePoint now, const TargetRecord &record, Respond respond);
     bool informed(TimePoint now) const;
     void logSilent(TimePoint now, const TargetStatus &news);
     void askNext(TimePoint now);
-    void refuseMalformed(TimePoint now, std::string_view message);
+    void logMalformed(TimePoint now, std::string_view message);
 
     Links &m_links;
     Duration m_announceInterval;
     TargetDirectory m_directory;
     DirectoryPublisher m_publisher;
     TimePoint m_publishDue;
-    NewsBatch m_news; // For the other replicas.
-    HeardTargets m_heard;
-    HeardElsewhere m_heardElsewhere;
+    ChangeBatch m_news; // For the other replicas.
+    LocalTargetLeases m_heard;
+    PeerTargetLeases m_peerLeases;
     DirectoryReconciler m_reconciler;
-    DirectoryAnswers m_answers;
+    DirectoryResponder m_answers;
     DrainConfirmations m_drains;
     TimePoint m_started;
     TimePoint m_receiptsAt; // When the receipts came that are being taken.
--- a/src/target_exchange_detail.h
+++ b/src/target_exchange_detail.h
@@ -28,9 +28,9 @@
 BasicTargetExchange<Links>::BasicTargetExchange(Links &links, TimePoint now, const ReplicaPlace &self, Duration announceInterval, const LossTolerance &borne)
     : m_links(links)
     , m_announceInterval(announceInterval)
-    , m_directory(announceInterval, announceInterval * MissedAnnouncements + AnnouncementSlack)
+    , m_directory(announceInterval, announceInterval * MaxMissedAnnouncements + AnnouncementSlack)
     , m_publisher(m_directory, detail::newLife())
-    , m_heard(std::chrono::duration_cast<Duration>(announceInterval * HeardLease))
+    , m_heard(std::chrono::duration_cast<Duration>(announceInterval * LeaseInAnnounceIntervals))
     , m_reconciler(m_directory)
     , m_answers(m_directory)
     , m_drains(borne, self)
@@ -47,14 +47,14 @@
     for (const TargetStatus &news : m_directory.announce(now, record)) {
         spread(now, news);
     }
-    for (const TargetKey key : m_directory.takeHeardHere()) {
+    for (const TargetKey key : m_directory.takeAnnouncedHere()) {
         m_heard.heard(now, key);
     }
     const TargetRecord *known = m_directory.find(record.key);
     if (known != nullptr && known->phase != TargetPhase::Serving) {
         return confirm(now, *known, std::move(respond));
     }
-    tellReplicas(now);
+    notifyReplicas(now);
     respond(known != nullptr);
 }
 
@@ -80,7 +80,7 @@
         return respond(true);
     }
     m_news.add(record.key);
-    tellReplicas(now);
+    notifyReplicas(now);
     m_drains.await(now, lifetime, record.phase, [this, began = now, respond = std::move(respond)](bool confirmed) {
         if (confirmed) {
             m_drainTimes.record(m_receiptsAt - began);
@@ -105,7 +105,7 @@
 {
     m_changed = true;
     m_news.add(news.record.key);
-    tellFollowers({&news, 1});
+    notifyFollowers({&news, 1});
     if (const auto leftOut = m_newsLog.take(now)) {
         LogLine(LogLevel::Info, "target-changed")
             .with("target", value(news.record.key))
@@ -119,7 +119,7 @@
 
 // Tells the other replicas what changed here, unless they were told a moment ago.
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::tellReplicas(TimePoint now)
+void BasicTargetExchange<Links>::notifyReplicas(TimePoint now)
 {
     const std::vector<TargetKey> keys = m_news.take(now);
     for (std::span<const TargetKey> left = keys; !left.empty(); left = left.subspan(std::min(left.size(), PageTargets))) {
@@ -134,7 +134,7 @@
 }
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::onNews(TimePoint now, ReplicaLinkId link, const TargetStatusList &list)
+void BasicTargetExchange<Links>::onTargetStatuses(TimePoint now, ReplicaLinkId link, const TargetStatusList &list)
 {
     m_reconciler.progressed(now, link);
     std::vector<TargetStatus> changed;
@@ -151,15 +151,15 @@
         m_links.send(link, receipts);
     }
     m_changed = m_changed || !changed.empty();
-    tellFollowers(changed);
+    notifyFollowers(changed);
 }
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::onHeard(TimePoint now, ReplicaLinkId link, const TargetsHeard &beat)
+void BasicTargetExchange<Links>::onLeaseUpdate(TimePoint now, ReplicaLinkId link, const TargetLeaseUpdate &beat)
 {
-    tellFollowers(m_directory.heard(now, m_heardElsewhere.take(link, beat)));
-    for (const MissedTarget &missed : beat.missed) {
-        if (!m_heard.vouchesFor(missed.key) && !m_heardElsewhere.vouchesFor(missed.key)) {
+    notifyFollowers(m_directory.heard(now, m_peerLeases.take(link, beat)));
+    for (const ExpiredLease &missed : beat.missed) {
+        if (!m_heard.holdsLease(missed.key) && !m_peerLeases.holdsLease(missed.key)) {
             m_directory.missed(now, missed);
         }
     }
@@ -188,8 +188,8 @@
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::onCompare(TimePoint now, ReplicaLinkId link, const DirectoryCompare &compare)
 {
-    if (!compare.isSound()) {
-        return refuseMalformed(now, "directory-compare");
+    if (!compare.isValid()) {
+        return logMalformed(now, "directory-compare");
     }
     DirectoryDigest answer{informed(now), m_directory.digest(compare.buckets)};
     if (digestHash(answer.buckets) == compare.hash) {
@@ -201,8 +201,8 @@
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::onDigest(TimePoint now, ReplicaLinkId link, const DirectoryDigest &digest)
 {
-    if (!digest.isSound()) {
-        return refuseMalformed(now, "directory-digest");
+    if (!digest.isValid()) {
+        return logMalformed(now, "directory-digest");
     }
     if (const auto query = m_reconciler.digest(now, link, digest)) {
         LogLine(LogLevel::Info, "directory-differs").with("parts", query->wanted.size()).with("of", query->buckets);
@@ -222,14 +222,14 @@
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::onQuery(TimePoint now, ReplicaLinkId link, const DirectoryQuery &query)
 {
-    if (!query.isSound()) {
-        return refuseMalformed(now, "directory-query");
+    if (!query.isValid()) {
+        return logMalformed(now, "directory-query");
     }
     m_answers.begin(link, query);
 }
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::onAnswered(ReplicaLinkId link, const DirectoryAnswered &answer)
+void BasicTargetExchange<Links>::onAnswered(ReplicaLinkId link, const DirectoryQueryDone &answer)
 {
     m_reconciler.answered(link, answer);
 }
@@ -238,7 +238,7 @@
 void BasicTargetExchange<Links>::closed(ReplicaLinkId link)
 {
     m_reconciler.closed(link);
-    m_heardElsewhere.closed(link);
+    m_peerLeases.closed(link);
     m_answers.closed(link);
 }
 
@@ -250,7 +250,7 @@
 }
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::refuseMalformed(TimePoint now, std::string_view message)
+void BasicTargetExchange<Links>::logMalformed(TimePoint now, std::string_view message)
 {
     if (const auto leftOut = m_malformedLog.take(now)) {
         LogLine(LogLevel::Error, "message-malformed").with("message", message).with("left-out", *leftOut);
@@ -260,7 +260,7 @@
 // ---- Followers ----
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::tellFollowers(std::span<const TargetStatus> changed)
+void BasicTargetExchange<Links>::notifyFollowers(std::span<const TargetStatus> changed)
 {
     for (const TargetStatus &status : changed) {
         m_publisher.changed(status.record.key);
@@ -285,7 +285,7 @@
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::publish(TimePoint now)
 {
-    tellReplicas(now);
+    notifyReplicas(now);
     if (now >= m_publishDue) {
         m_publishDue = now + PublishInterval;
         m_publisher.publish(now, informed(now), m_links);
@@ -301,7 +301,7 @@
     for (const TargetStatus &status : targets) {
         m_directory.take(now, {status.record, false, Duration{0}, status.known});
     }
-    tellFollowers(targets);
+    notifyFollowers(targets);
 }
 
 template<ExchangeLinks Links>
@@ -312,7 +312,7 @@
     for (const TargetStatus &news : silent) {
         logSilent(now, news);
     }
-    tellFollowers(silent);
+    notifyFollowers(silent);
     const std::vector<TargetKey> forgotten = m_directory.takeForgotten();
     m_publisher.forget(forgotten);
     for (const TargetKey key : forgotten) {
@@ -335,7 +335,7 @@
 template<ExchangeLinks Links>
 bool BasicTargetExchange<Links>::informed(TimePoint now) const
 {
-    return m_restored || m_reconciler.informed() || now - m_started >= m_announceInterval * MissedAnnouncements;
+    return m_restored || m_reconciler.informed() || now - m_started >= m_announceInterval * MaxMissedAnnouncements;
 }
 
 // ---- Small questions ----
--- a/src/target_probe.h
+++ b/src/target_probe.h
@@ -22,9 +22,9 @@
 namespace Robinrail {
 
 // A replica probes the same target at most once in this time.
-inline constexpr Duration ProbePause = std::chrono::milliseconds(500);
+inline constexpr Duration MinProbeInterval = std::chrono::milliseconds(500);
 
-// So many reports within ProbePause make a replica probe: a packet that is lost on its way gives one.
+// So many reports within MinProbeInterval make a replica probe: a packet that is lost on its way gives one.
 inline constexpr int ReportsForProbe = 2;
 
 // Most reports that a balancer hands on in one tick.
@@ -38,11 +38,11 @@
 inline constexpr std::size_t MaxTargetProbes = 256;
 
 // What a replica found holds this long: the probes that one report sets off end within the time-out of each other.
-inline constexpr Duration ProbeLifetime = std::chrono::milliseconds(1000);
+inline constexpr Duration ProbeResultLifetime = std::chrono::milliseconds(1000);
 
 // A target that showed life through a balancer within this time is not taken for gone there, whatever replicas say: the
 // time from the first repetition of its data to the end of the probes.
-inline constexpr Duration RecentLife = std::chrono::milliseconds(400);
+inline constexpr Duration RecentActivityWindow = std::chrono::milliseconds(400);
 
 // A target whose open flows got no answer, as a replica knows it.
 struct ReportedTarget {
@@ -61,7 +61,7 @@
     {
         const TargetKey key = target.key;
         std::erase_if(m_probes, [now](const auto &each) {
-            return !each.second.underWay && now - each.second.since >= ProbePause;
+            return !each.second.underWay && now - each.second.since >= MinProbeInterval;
         });
         if (m_probes.size() >= MaxTargetProbes && !m_probes.contains(key)) {
             return false;
@@ -88,17 +88,17 @@
         bool begun = false;
         bool underWay = false;
     };
-    std::map<TargetKey, Probe> m_probes; // Under way, or reported or begun within ProbePause.
+    std::map<TargetKey, Probe> m_probes; // Under way, or reported or begun within MinProbeInterval.
 };
 
 // What replicas found, as a balancer collects it.
-class ProbeFindings
+class ProbeResults
 {
 public:
     // So many replicas must find a target unreachable before it is taken for gone that a borne loss, such as the cut of a data
     // centre, can't be what they all saw.
-    explicit ProbeFindings(const LossTolerance &borne)
-        : m_borne(borne)
+    explicit ProbeResults(const LossTolerance &borne)
+        : m_tolerance(borne)
     {
     }
 
@@ -111,11 +111,11 @@
         }
         std::map<ReplicaId, Finding> &findings = m_findings[key];
         findings[finder.replica] = {now, finder.dataCentre};
-        Witnesses finders;
+        ReplicaLocations finders;
         for (const auto &[replica, finding] : findings) {
             finders[replica] = finding.dataCentre;
         }
-        return m_borne.isOutlivedBy(finders);
+        return m_tolerance.isMetBy(finders);
     }
 
 private:
@@ -128,7 +128,7 @@
     {
         for (auto &[key, findings] : m_findings) {
             std::erase_if(findings, [now](const auto &each) {
-                return now - each.second.at >= ProbeLifetime;
+                return now - each.second.at >= ProbeResultLifetime;
             });
         }
         std::erase_if(m_findings, [](const auto &each) {
@@ -136,7 +136,7 @@
         });
     }
 
-    LossTolerance m_borne;
+    LossTolerance m_tolerance;
     std::map<TargetKey, std::map<ReplicaId, Finding>> m_findings;
 };
 
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -89,17 +89,17 @@
 mutate "steering: one replica's word makes a target gone" src/target_probe.h 'return finders.size() >= m_needed;' \
     'return finders.size() + m_needed > 0;' '*enough different replicas*,*troubles no flow*'
 mutate "steering: signs of life do not speak against a target's end" src/steering_targets.cpp \
-    '|| now - at->second.alive < RecentLife' '' '*showed life through*'
+    '|| now - at->second.alive < RecentActivityWindow' '' '*showed life through*'
 mutate "steering: a probe during a standstill counts" src/target_prober.cpp '&& standstills == m_standstills' \
     '&& standstills <= m_standstills' '*stood still during a probe*'
 mutate "steering: probes count where no target takes any" src/target_prober.cpp '&& m_anyAnswered &&' '&&' '*no target ever answered*'
 mutate "steering: any lost packet sets off probes" src/target_probe.h '(target.overdue ? 1 : ReportsForProbe)' \
     '1' '*lost here and there*'
-mutate "steering: what was found long ago counts" src/target_probe.h 'return now - each.second.at >= ProbeLifetime;' \
+mutate "steering: what was found long ago counts" src/target_probe.h 'return now - each.second.at >= ProbeResultLifetime;' \
     'return now < each.second.at;' '*enough different replicas*'
 mutate "steering: life during resets does not end them" src/steering_targets.cpp \
     '    target.flowsOver = false;' '' '*keeps those that are left*'
-mutate "steering: removed routes are never forgotten" src/flow_steering.cpp 'return now - seen >= RememberLeft;' \
+mutate "steering: removed routes are never forgotten" src/flow_steering.cpp 'return now - seen >= LeftTargetRetention;' \
     'return now < seen;' '*forgotten once its flows*'
 mutate "steering: messages of other clusters are taken" src/replica_driver.cpp \
     'if (cluster != 0 && envelope.cluster != cluster) {' 'if (cluster != 0 && envelope.cluster == 0) {' '*joins the first cluster*'
@@ -126,7 +126,7 @@
     'life != 0 && after <= m_newest' '*tell all that was missed*,*ends alike*'
 mutate "directory: who is not listed stays" src/directory_follower.cpp 'm_targets.keepVouched(replica, std::exchange(progress.listed, {}));' \
     'progress.listed.clear();' '*from the same life*,*ends alike*'
-mutate "directory: pages go out however slow the link" src/directory_publisher.h '&& links.buffered(id) < MaxBuffered' '' \
+mutate "directory: pages go out however slow the link" src/directory_publisher.h '&& links.buffered(id) < MaxFollowerBacklog' '' \
     '*leave room on its link*'
 mutate "digest: what differs is not asked for" src/directory_reconciler.cpp 'if (query.wanted.empty()) {' 'if (m_buckets != 0) {' \
     '*few targets that differ*,*each target once*'
--- a/tests/test_directory.cpp
+++ b/tests/test_directory.cpp
@@ -93,15 +93,15 @@
 
 // A balancer's side of one replica's directory.
 struct Balancer {
-    PageVerdict take(TimePoint now, const DirectoryPage &page, ReplicaId replica = Near)
+    PageResult take(TimePoint now, const DirectoryPage &page, ReplicaId replica = Near)
     {
         return follower.take(now, replica, page);
     }
 
     // Takes all that waits; the last verdict.
-    PageVerdict drain(TimePoint now, WaitingLinks &links, FollowerId id = OnlyFollower, ReplicaId replica = Near)
+    PageResult drain(TimePoint now, WaitingLinks &links, FollowerId id = OnlyFollower, ReplicaId replica = Near)
     {
-        PageVerdict verdict = PageVerdict::Taken;
+        PageResult verdict = PageResult::Taken;
         while (const std::optional<DirectoryPage> page = links.take(id)) {
             verdict = take(now, *page, replica);
         }
@@ -189,12 +189,12 @@
             replica.announce(Start, record);
         }
         replica.publisher.publish(Start, true, links);
-        CHECK(links.buffered(OnlyFollower) < MaxBuffered + 8192);
+        CHECK(links.buffered(OnlyFollower) < MaxFollowerBacklog + 8192);
     }
     Balancer balancer;
-    PageVerdict verdict = PageVerdict::Taken;
+    PageResult verdict = PageResult::Taken;
     TimePoint now = Start;
-    while (verdict != PageVerdict::Completed) {
+    while (verdict != PageResult::Completed) {
         now += milliseconds(50);
         verdict = balancer.drain(now, links);
         replica.publisher.publish(now, true, links);
@@ -215,16 +215,16 @@
     replica.publisher.follow(OnlyFollower, {});
     replica.publisher.publish(Start, true, links);
     balancer.drain(Start, links);
-    links.queues[OnlyFollower].push_back(Bytes(MaxBuffered));
+    links.queues[OnlyFollower].push_back(Bytes(MaxFollowerBacklog));
     TargetRecord left = targetOf(2, 2);
     left.phase = TargetPhase::Left;
     replica.announce(Start + seconds(1), left);
     replica.publisher.publish(Start + seconds(1), true, links);
-    const TimePoint late = Start + seconds(1) + RememberLeft;
+    const TimePoint late = Start + seconds(1) + LeftTargetRetention;
     replica.tick(late);
     links.queues[OnlyFollower].clear();
     replica.publisher.publish(late, true, links);
-    CHECK(balancer.drain(late, links) == PageVerdict::Completed);
+    CHECK(balancer.drain(late, links) == PageResult::Completed);
     CHECK_FALSE(balancer.vouched(2));
 }
 
@@ -254,7 +254,7 @@
     Balancer balancer;
     replica.publisher.follow(OnlyFollower, balancer.follower.request(Near));
     replica.publisher.publish(Start, true, links);
-    CHECK(balancer.drain(Start, links) == PageVerdict::Completed);
+    CHECK(balancer.drain(Start, links) == PageResult::Completed);
     balancer.follower.lost(Near);
     TargetRecord drained = targetOf(7, 2);
     drained.phase = TargetPhase::Draining;
@@ -263,7 +263,7 @@
     links.bytes = 0;
     CHECK(replica.publisher.follow(6, balancer.follower.request(Near)));
     replica.publisher.publish(Start + seconds(1), true, links);
-    CHECK(balancer.drain(Start + seconds(1), links, 6) == PageVerdict::Completed);
+    CHECK(balancer.drain(Start + seconds(1), links, 6) == PageResult::Completed);
     CHECK(links.bytes < 100);
     checkAlike(balancer, replica.directory, Start + seconds(1));
     // The replica lost its disk and its memory; only one target has come back to it.
@@ -271,7 +271,7 @@
     restarted.announce(Start + seconds(2), targetOf(8, 3));
     CHECK_FALSE(restarted.publisher.follow(8, balancer.follower.request(Near)));
     restarted.publisher.publish(Start + seconds(2), true, links);
-    CHECK(balancer.drain(Start + seconds(2), links, 8) == PageVerdict::Completed);
+    CHECK(balancer.drain(Start + seconds(2), links, 8) == PageResult::Completed);
     CHECK(balancer.vouched(8));
     CHECK_FALSE(balancer.vouched(9));
     // What it does not know it does not undo, either.
@@ -298,25 +298,25 @@
 {
     Balancer balancer;
     DirectoryPage page{Life, 0, 4, true, false, {"quotes"}, {}};
-    CHECK(balancer.take(Start, page) == PageVerdict::Taken);
+    CHECK(balancer.take(Start, page) == PageResult::Taken);
     page.after = 4;
     page.upTo = 6;
     page.informed = true;
-    CHECK(balancer.take(Start, page) == PageVerdict::Completed);
-    CHECK(balancer.take(Start, page) == PageVerdict::Gap);
+    CHECK(balancer.take(Start, page) == PageResult::Completed);
+    CHECK(balancer.take(Start, page) == PageResult::Gap);
     CHECK(balancer.follower.request(Near).life == 0);
     page.after = 0;
-    CHECK(balancer.take(Start, page) == PageVerdict::Completed);
+    CHECK(balancer.take(Start, page) == PageResult::Completed);
     page.after = 6;
     page.life = Life + 1;
-    CHECK(balancer.take(Start, page) == PageVerdict::Gap);
+    CHECK(balancer.take(Start, page) == PageResult::Gap);
     page.upTo = 3;
-    CHECK(balancer.take(Start, page) == PageVerdict::Malformed);
+    CHECK(balancer.take(Start, page) == PageResult::Malformed);
     page = {Life, 0, 4, true, true, {"quotes"}, {ListedTarget{}}};
     page.targets[0].service = 1;
-    CHECK(balancer.take(Start, page) == PageVerdict::Malformed);
+    CHECK(balancer.take(Start, page) == PageResult::Malformed);
     page.life = 0;
-    CHECK(balancer.take(Start, page) == PageVerdict::Malformed);
+    CHECK(balancer.take(Start, page) == PageResult::Malformed);
 }
 
 TEST_CASE("an older list of another replica undoes no drain, and its word on who lives waits until it is the source")
@@ -397,12 +397,12 @@
                 connect();
             }
             if (lot(60) == 0) {
-                now += RememberLeft; // All that left is forgotten, and what is silent soon.
+                now += LeftTargetRetention; // All that left is forgotten, and what is silent soon.
             }
             replica->publisher.publish(now, lot(10) != 0, links);
             for (std::uint64_t i = lot(3); i > 0; --i) {
                 if (const std::optional<DirectoryPage> page = links.take(link)) {
-                    REQUIRE(balancer.take(now, *page) <= PageVerdict::Completed);
+                    REQUIRE(balancer.take(now, *page) <= PageResult::Completed);
                 }
             }
         }
--- a/tests/test_directory_digest.cpp
+++ b/tests/test_directory_digest.cpp
@@ -62,7 +62,7 @@
 struct Replica {
     TargetDirectory directory{milliseconds(770), seconds(3)};
     DirectoryReconciler reconciler{directory};
-    DirectoryAnswers answers{directory};
+    DirectoryResponder answers{directory};
     PeerLinks links;
     bool knowsAll = true;
 
@@ -141,26 +141,26 @@
     {
         Replica &replica = replicas[to];
         if (const auto *digest = std::get_if<DirectoryDigest>(&message)) {
-            REQUIRE(digest->isSound());
+            REQUIRE(digest->isValid());
             if (const auto question = replica.reconciler.digest(now, from, *digest)) {
                 send(to, from, *question);
             }
         } else if (const auto *compare = std::get_if<DirectoryCompare>(&message)) {
-            REQUIRE(compare->isSound());
+            REQUIRE(compare->isValid());
             DirectoryDigest answer{replica.informed(), replica.directory.digest(compare->buckets)};
             if (digestHash(answer.buckets) == compare->hash) {
                 answer.buckets.clear();
             }
             send(to, from, answer);
         } else if (const auto *query = std::get_if<DirectoryQuery>(&message)) {
-            REQUIRE(query->isSound());
+            REQUIRE(query->isValid());
             replica.answers.begin(from, *query);
         } else if (const auto *list = std::get_if<TargetStatusList>(&message)) {
             replica.reconciler.progressed(now, from);
             for (const TargetStatus &news : list->news) {
                 replica.directory.take(now, news);
             }
-        } else if (const auto *answer = std::get_if<DirectoryAnswered>(&message)) {
+        } else if (const auto *answer = std::get_if<DirectoryQueryDone>(&message)) {
             replica.reconciler.answered(from, *answer);
         }
     }
@@ -228,18 +228,18 @@
 TEST_CASE("a digest of a number of parts that no replica sends is refused, and so is a question beyond its parts")
 {
     for (const std::uint32_t size : {1U, 8U, 17U, 100U, 32768U}) {
-        CHECK_FALSE(DirectoryDigest{true, std::vector<std::uint32_t>(size)}.isSound());
-        CHECK_FALSE(DirectoryCompare{size, 1}.isSound());
+        CHECK_FALSE(DirectoryDigest{true, std::vector<std::uint32_t>(size)}.isValid());
+        CHECK_FALSE(DirectoryCompare{size, 1}.isValid());
     }
-    CHECK_FALSE(DirectoryCompare{0, 1}.isSound());
-    CHECK(DirectoryDigest{true, {}}.isSound()); // The directories are the same.
-    CHECK(DirectoryDigest{true, std::vector<std::uint32_t>(MaxDigestBuckets)}.isSound());
-    CHECK(DirectoryQuery{16, {0, 15}}.isSound());
-    CHECK_FALSE(DirectoryQuery{16, {16}}.isSound());
-    CHECK_FALSE(DirectoryQuery{12, {0}}.isSound());
-    CHECK_FALSE(DirectoryQuery{16, std::vector<std::uint32_t>(17)}.isSound());
+    CHECK_FALSE(DirectoryCompare{0, 1}.isValid());
+    CHECK(DirectoryDigest{true, {}}.isValid()); // The directories are the same.
+    CHECK(DirectoryDigest{true, std::vector<std::uint32_t>(MaxDigestBuckets)}.isValid());
+    CHECK(DirectoryQuery{16, {0, 15}}.isValid());
+    CHECK_FALSE(DirectoryQuery{16, {16}}.isValid());
+    CHECK_FALSE(DirectoryQuery{12, {0}}.isValid());
+    CHECK_FALSE(DirectoryQuery{16, std::vector<std::uint32_t>(17)}.isValid());
     for (const std::size_t targets : {0U, 1U, 150U, 10'000U, 89'000U, 1'000'000U}) {
-        CHECK(DirectoryDigest{true, std::vector<std::uint32_t>(digestBuckets(targets))}.isSound());
+        CHECK(DirectoryDigest{true, std::vector<std::uint32_t>(digestBuckets(targets))}.isValid());
     }
 }
 
--- a/tests/test_heard_targets.cpp
+++ b/tests/test_heard_targets.cpp
@@ -34,54 +34,54 @@
 
 TEST_CASE("a replica names each target that it hears once, and once that it was missed")
 {
-    HeardTargets here(Lease);
+    LocalTargetLeases here(Lease);
     here.heard(Start, TargetKey{1});
     here.heard(Start, TargetKey{2});
     CHECK(here.whole().heard.empty()); // Nothing was told yet; the next beat names them on all links.
     CHECK(here.changes(Start).heard == std::vector{TargetKey{1}, TargetKey{2}});
     here.heard(Start + Interval, TargetKey{1});
-    const TargetsHeard calm = here.changes(Start + Lease - milliseconds(1));
+    const TargetLeaseUpdate calm = here.changes(Start + Lease - milliseconds(1));
     CHECK(calm.heard.empty());
     CHECK(calm.missed.empty());
-    const TargetsHeard late = here.changes(Start + Lease);
+    const TargetLeaseUpdate late = here.changes(Start + Lease);
     REQUIRE(late.missed.size() == 1);
     CHECK(late.missed[0].key == TargetKey{2});
     CHECK(late.missed[0].age == Lease);
     CHECK(here.whole().heard == std::vector{TargetKey{1}});
-    CHECK(here.vouchesFor(TargetKey{1}));
-    CHECK_FALSE(here.vouchesFor(TargetKey{2}));
+    CHECK(here.holdsLease(TargetKey{1}));
+    CHECK_FALSE(here.holdsLease(TargetKey{2}));
     here.heard(Start + Lease, TargetKey{2});
     CHECK(here.changes(Start + Lease).heard == std::vector{TargetKey{2}});
 }
 
 TEST_CASE("a target that came and went between two beats is never named")
 {
-    HeardTargets here(Lease);
+    LocalTargetLeases here(Lease);
     here.heard(Start, TargetKey{1});
-    const TargetsHeard beat = here.changes(Start + Lease);
+    const TargetLeaseUpdate beat = here.changes(Start + Lease);
     CHECK(beat.heard.empty());
     CHECK(beat.missed.empty());
 }
 
 TEST_CASE("a beat renews all that was named on its link, and a lost link ends that word")
 {
-    HeardElsewhere elsewhere;
+    PeerTargetLeases elsewhere;
     elsewhere.take(1, {{TargetKey{5}, TargetKey{3}}, {}});
     CHECK(elsewhere.take(1, {}).size() == 2);
     CHECK(elsewhere.take(2, {{TargetKey{3}}, {}}).size() == 1);
     CHECK(elsewhere.take(1, {{TargetKey{3}}, {}}).size() == 2);
     CHECK(elsewhere.take(1, {{}, {{TargetKey{3}, Lease}, {TargetKey{9}, Lease}}}).size() == 1);
-    CHECK(elsewhere.vouchesFor(TargetKey{3})); // The other replica still hears it.
+    CHECK(elsewhere.holdsLease(TargetKey{3})); // The other replica still hears it.
     elsewhere.closed(2);
-    CHECK_FALSE(elsewhere.vouchesFor(TargetKey{3}));
-    CHECK(elsewhere.vouchesFor(TargetKey{5}));
+    CHECK_FALSE(elsewhere.holdsLease(TargetKey{3}));
+    CHECK(elsewhere.holdsLease(TargetKey{5}));
 }
 
 // Thousands of targets announce themselves at one of many replicas, and nothing happens.
 TEST_CASE("a calm beat costs as much for a thousand targets as for ten")
 {
     const auto beatBytes = [](std::uint64_t targets) {
-        HeardTargets here(Lease);
+        LocalTargetLeases here(Lease);
         const auto announce = [&](TimePoint now) {
             for (std::uint64_t key = 1; key <= targets; ++key) {
                 here.heard(now, TargetKey{key << 24U});
@@ -101,8 +101,8 @@
         pcg64 random(seed);
         constexpr std::uint64_t Targets = 40;
         TargetDirectory directory(Interval, SilenceLimit);
-        HeardTargets here(Lease);
-        HeardElsewhere elsewhere;
+        LocalTargetLeases here(Lease);
+        PeerTargetLeases elsewhere;
         std::vector<TimePoint> due(Targets);
         std::vector<TimePoint> last(Targets, Start);
         std::vector<TimePoint> ends(Targets, TimePoint::max());
@@ -125,9 +125,9 @@
             }
             if (now >= nextBeat) {
                 nextBeat = now + Beat;
-                const TargetsHeard beat = here.changes(now);
+                const TargetLeaseUpdate beat = here.changes(now);
                 directory.heard(now, elsewhere.take(OnlyLink, beat));
-                for (const MissedTarget &missed : beat.missed) {
+                for (const ExpiredLease &missed : beat.missed) {
                     directory.missed(now, missed);
                 }
                 for (const TargetStatus &silent : directory.tick(now)) {
--- a/tests/test_link_traffic.cpp
+++ b/tests/test_link_traffic.cpp
@@ -15,7 +15,7 @@
 
 Bytes heardMessage()
 {
-    return encodeMessage(NodeMessage(TargetsHeard{{TargetKey{1}, TargetKey{2}}, {}}));
+    return encodeMessage(NodeMessage(TargetLeaseUpdate{{TargetKey{1}, TargetKey{2}}, {}}));
 }
 
 } // namespace
--- a/tests/test_steering.cpp
+++ b/tests/test_steering.cpp
@@ -152,9 +152,9 @@
     CHECK(balancer.steering.steer(balancer.now, later).reason == SteeringReason::RouteDropped);
     CHECK(balancer.steering.droppedRoutes() == 1);
     balancer.steering.tick(balancer.now);
-    balancer.steering.tick(balancer.now + RememberLeft - seconds(1));
+    balancer.steering.tick(balancer.now + LeftTargetRetention - seconds(1));
     CHECK(balancer.steering.droppedRoutes() == 1);
-    balancer.steering.tick(balancer.now + RememberLeft + seconds(2));
+    balancer.steering.tick(balancer.now + LeftTargetRetention + seconds(2));
     CHECK(balancer.steering.droppedRoutes() == 0);
 }
 
--- a/tests/test_target_probe.cpp
+++ b/tests/test_target_probe.cpp
@@ -141,7 +141,7 @@
     balancer.request(1, Silent, 100, 1);
     balancer.now += seconds(1);
     balancer.acknowledge(1, Silent, 50);
-    balancer.now += RecentLife - milliseconds(1);
+    balancer.now += RecentActivityWindow - milliseconds(1);
     CHECK_FALSE(balancer.steering.targets().takeForGone(balancer.now, Silent));
     CHECK(balancer.steering.takeResets().empty());
     balancer.now += milliseconds(1);
@@ -181,11 +181,11 @@
 TEST_CASE("the first packet of a flow is a sign of life if its opening came here, not if its data began elsewhere")
 {
     Balancer balancer;
-    balancer.now += RecentLife;
+    balancer.now += RecentActivityWindow;
     balancer.request(1, Silent, 100, 1); // Sent and repeated through a balancer that is no more.
     CHECK(balancer.steering.targets().takeForGone(balancer.now, Silent));
     Balancer other;
-    other.now += RecentLife;
+    other.now += RecentActivityWindow;
     FlowPacket opening = Balancer::packet(1, Silent, 0, 0);
     opening.opening = true;
     const SteeringDecision decision = other.steering.steer(other.now, opening);
@@ -225,20 +225,20 @@
 
 TEST_CASE("a target is gone when enough different replicas find it unreachable at the same time")
 {
-    ProbeFindings findings(OneReplica);
+    ProbeResults findings(OneReplica);
     CHECK_FALSE(findings.unreachable(Start, FirstFinder, Silent));
     CHECK_FALSE(findings.unreachable(Start, FirstFinder, Silent));
     CHECK_FALSE(findings.unreachable(Start, SecondFinder, Living));
-    CHECK(findings.unreachable(Start + ProbeLifetime - milliseconds(1), SecondFinder, Silent));
+    CHECK(findings.unreachable(Start + ProbeResultLifetime - milliseconds(1), SecondFinder, Silent));
     // What was found long ago says nothing.
-    ProbeFindings old(OneReplica);
+    ProbeResults old(OneReplica);
     old.unreachable(Start, FirstFinder, Silent);
-    CHECK_FALSE(old.unreachable(Start + ProbeLifetime, SecondFinder, Silent));
+    CHECK_FALSE(old.unreachable(Start + ProbeResultLifetime, SecondFinder, Silent));
 }
 
 TEST_CASE("floods of findings and of reports take bounded memory and probes")
 {
-    ProbeFindings findings(OneReplica);
+    ProbeResults findings(OneReplica);
     for (std::uint64_t key = 1; key <= 2 * MaxTargetProbes; ++key) {
         findings.unreachable(Start, FirstFinder, TargetKey{key});
     }
@@ -263,10 +263,10 @@
 {
     ProbeSchedule schedule;
     for (int i = 0; i < 20; ++i) {
-        CHECK_FALSE(schedule.reported(Start + i * ProbePause, reported(Living)));
+        CHECK_FALSE(schedule.reported(Start + i * MinProbeInterval, reported(Living)));
     }
     CHECK_FALSE(schedule.reported(Start, reported(Silent)));
-    CHECK(schedule.reported(Start + ProbePause - milliseconds(1), reported(Silent)));
+    CHECK(schedule.reported(Start + MinProbeInterval - milliseconds(1), reported(Silent)));
 }
 
 TEST_CASE("one report is enough of a target that missed its turn to announce itself")
@@ -275,17 +275,17 @@
     CHECK(schedule.reported(Start, {Silent, {}, true}));
     CHECK_FALSE(schedule.reported(Start, {Silent, {}, true}));
     schedule.ended(Silent);
-    CHECK(schedule.reported(Start + ProbePause, {Silent, {}, true}));
+    CHECK(schedule.reported(Start + MinProbeInterval, {Silent, {}, true}));
 }
 
 TEST_CASE("what all replicas of one data centre find does not make a target gone, as they are cut off together")
 {
-    ProbeFindings findings(LossTolerance{2, 1});
+    ProbeResults findings(LossTolerance{2, 1});
     for (std::uint32_t replica = 1; replica <= 5; ++replica) {
         CHECK_FALSE(findings.unreachable(Start, {ReplicaId{replica}, Here}, Silent));
     }
     CHECK(findings.unreachable(Start, {ReplicaId{6}, DataCentreId{2}}, Silent));
-    ProbeFindings few(LossTolerance{2, 1});
+    ProbeResults few(LossTolerance{2, 1});
     CHECK_FALSE(few.unreachable(Start, {ReplicaId{1}, Here}, Silent));
     CHECK_FALSE(few.unreachable(Start, {ReplicaId{6}, DataCentreId{2}}, Silent));
     CHECK(few.unreachable(Start, {ReplicaId{7}, DataCentreId{2}}, Silent));
@@ -312,12 +312,12 @@
         const std::vector<ReplicaId> chosen = chooseProbers(TargetKey{key}, places, Probers);
         REQUIRE(chosen.size() == Probers);
         CHECK(chosen == chooseProbers(TargetKey{key}, reversed, Probers));
-        Witnesses witnesses;
+        ReplicaLocations witnesses;
         for (const ReplicaId replica : chosen) {
             ++load[replica];
             witnesses[replica] = DataCentreId(1 + (value(replica) - 100) % 5);
         }
-        CHECK(LossTolerance{4, 4}.isOutlivedBy(witnesses));
+        CHECK(LossTolerance{4, 4}.isMetBy(witnesses));
     }
     constexpr auto Mean = static_cast<int>(Targets * Probers / 25);
     for (const ReplicaPlace &place : places) {
@@ -412,7 +412,7 @@
             return random() % 100 < percent;
         };
         Balancer balancer;
-        ProbeFindings findings(OneReplica);
+        ProbeResults findings(OneReplica);
         ProbeSchedule schedule; // Of all replicas, as they get the same reports.
         const bool dies = chance(50);
         const bool oneReplicaErrs = chance(50); // Cut off from the targets, and linked to the balancer.
--- a/tests/test_targets.cpp
+++ b/tests/test_targets.cpp
@@ -56,7 +56,7 @@
     CHECK(directory.announce(Start + seconds(1), record).empty());
     record.sequence = 3;
     CHECK(directory.announce(Start + seconds(1), record).size() == 1);
-    CHECK(directory.takeHeardHere().size() == 4);
+    CHECK(directory.takeAnnouncedHere().size() == 4);
     CHECK(directory.tick(Start + seconds(2)).empty());
     CHECK(directory.tick(Start + seconds(4)).size() == 1);
     const std::vector<TargetKey> keys = {TargetKey{5}};
@@ -259,16 +259,16 @@
 
 TEST_CASE("the first change after a pause is told at once, and those that follow together")
 {
-    NewsBatch news;
+    ChangeBatch news;
     CHECK(news.take(Start).empty());
     news.add(TargetKey{1});
     CHECK(news.take(Start) == std::vector{TargetKey{1}});
     news.add(TargetKey{2});
     news.add(TargetKey{3});
     news.add(TargetKey{2});
-    CHECK(news.take(Start + NewsInterval - milliseconds(1)).empty());
-    CHECK(news.take(Start + NewsInterval) == std::vector{TargetKey{2}, TargetKey{3}});
-    CHECK(news.take(Start + 2 * NewsInterval).empty());
+    CHECK(news.take(Start + ReplicaUpdateInterval - milliseconds(1)).empty());
+    CHECK(news.take(Start + ReplicaUpdateInterval) == std::vector{TargetKey{2}, TargetKey{3}});
+    CHECK(news.take(Start + 2 * ReplicaUpdateInterval).empty());
 }
 
 // A release drains targets by the hundred, and each of them says so again with every announcement until it ends.
@@ -278,7 +278,7 @@
         constexpr int Announcements = 8;
         constexpr Duration Interval = milliseconds(770);
         DrainConfirmations drains({2, 0}, Self);
-        NewsBatch news;
+        ChangeBatch news;
         std::size_t messages = 0;
         std::size_t answered = 0;
         std::vector<TargetKey> told;
@@ -335,10 +335,10 @@
 TEST_CASE("orders to drain a data centre are applied in the order of the log, and survive a snapshot")
 {
     RoutingState state;
-    const DataCentreOrder drain{"lalit", true};
-    const DataCentreOrder takeBack{"lalit", false};
+    const DataCentreDrainOrder drain{"lalit", true};
+    const DataCentreDrainOrder takeBack{"lalit", false};
     state.applyCommand(RoutingState::encodeChange(drain));
-    state.applyCommand(RoutingState::encodeChange(DataCentreOrder{"bhakta", true}));
+    state.applyCommand(RoutingState::encodeChange(DataCentreDrainOrder{"bhakta", true}));
     CHECK(state.drains().drained() == std::vector<std::string>{"bhakta", "lalit"});
     CHECK(state.drains().revision() == 2);
     // The same order again changes nothing; a document in between neither.
