--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -295,7 +295,7 @@
         replica.exchange->publish(m_now);
         replica.exchange->expireDrains(m_now);
         if (m_now.time_since_epoch() / Tick % (Beat / Tick) == static_cast<std::int64_t>(number) % (Beat / Tick)) {
-            replica.exchange->beat(m_now);
+            replica.exchange->sendHeartbeat(m_now);
         }
     });
     at(m_now + Tick, [this, number, boot] {
--- a/src/directory_follower.cpp
+++ b/src/directory_follower.cpp
@@ -69,7 +69,7 @@
     if (page.last && std::exchange(progress.listing, false)) {
         m_targets.keepVouched(replica, std::exchange(progress.listed, {}));
     }
-    return page.last && page.informed ? PageResult::Completed : PageResult::Taken;
+    return page.last && page.informed ? PageResult::Completed : PageResult::Applied;
 }
 
 void DirectoryFollower::lost(ReplicaId replica)
--- a/src/directory_follower.h
+++ b/src/directory_follower.h
@@ -13,7 +13,7 @@
 
 // What came of a page.
 enum class PageResult : std::uint8_t {
-    Taken,
+    Applied,
     Completed, // And with it all that the replica knows is known here.
     Gap, // It does not follow what was taken before: ask anew with request().
     Malformed, // It contradicts itself.
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -275,7 +275,7 @@
 
 void ReplicaNode::tellUnreachable(TimePoint now)
 {
-    m_prober.turn(now);
+    m_prober.tick(now);
     const TargetsUnreachable found{place(), m_prober.takeUnreachable()};
     if (!found.keys.empty()) {
         m_links.sendAll(m_links.dialled(), found);
@@ -295,7 +295,7 @@
     const RoutingOffer current = offer(now);
     m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), current);
     m_links.sendAll(m_links.dialled(), current);
-    m_targets.beat(now);
+    m_targets.sendHeartbeat(now);
 }
 
 // ---- Links ----
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -260,7 +260,7 @@
 void SteeringNode::onPage(LinkHandle link, ReplicaId replica, const DirectoryPage &page)
 {
     switch (m_follower.take(monotonicNow(), replica, page)) {
-    case PageResult::Taken:
+    case PageResult::Applied:
         break;
     case PageResult::Completed:
         m_choice.completed(replica);
--- a/src/target_exchange.h
+++ b/src/target_exchange.h
@@ -99,7 +99,7 @@
     void expireDrains(TimePoint now);
 
     // Tells the others whom this replica heard, and finds who fell silent. Call it once in a while.
-    void beat(TimePoint now);
+    void sendHeartbeat(TimePoint now);
 
     // All targets; whether anything changed since the last call.
     std::vector<TargetStatus> all(TimePoint now) const;
--- a/src/target_exchange_detail.h
+++ b/src/target_exchange_detail.h
@@ -305,7 +305,7 @@
 }
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::beat(TimePoint now)
+void BasicTargetExchange<Links>::sendHeartbeat(TimePoint now)
 {
     m_links.sendAll(m_links.dialled(), m_heard.changes(now));
     const std::vector<TargetStatus> silent = m_directory.tick(now);
--- a/src/target_prober.cpp
+++ b/src/target_prober.cpp
@@ -13,7 +13,7 @@
 
 TargetProber::TargetProber(boost::asio::io_context &io)
     : m_io(io)
-    , m_lastTurn(monotonicNow())
+    , m_lastTick(monotonicNow())
 {
 }
 
@@ -31,16 +31,16 @@
                           });
 }
 
-void TargetProber::turn(TimePoint now)
+void TargetProber::tick(TimePoint now)
 {
-    if (now - std::exchange(m_lastTurn, now) >= MaxTurnTime) {
+    if (now - std::exchange(m_lastTick, now) >= MaxTurnTime) {
         ++m_standstills;
     }
 }
 
 void TargetProber::ended(TargetKey key, std::uint64_t standstills, bool answered)
 {
-    turn(monotonicNow());
+    tick(monotonicNow());
     m_schedule.ended(key);
     m_anyAnswered = m_anyAnswered || answered;
     if (!answered && m_anyAnswered && standstills == m_standstills) {
--- a/src/target_prober.h
+++ b/src/target_prober.h
@@ -22,7 +22,7 @@
     void reported(TimePoint now, const ReportedTarget &target);
 
     // The process runs. Call it at each tick: a probe during which it did not run says nothing.
-    void turn(TimePoint now);
+    void tick(TimePoint now);
 
     // The targets that were found unreachable since the last call. None as long as no target ever answered a probe of
     // this process: where targets take no connections at all, an unanswered one says nothing.
@@ -35,7 +35,7 @@
 
     boost::asio::io_context &m_io;
     ProbeSchedule m_schedule;
-    TimePoint m_lastTurn;
+    TimePoint m_lastTick;
     std::uint64_t m_standstills = 0;
     bool m_anyAnswered = false; // Targets here do take connections.
     std::vector<TargetKey> m_unreachable;
--- a/tests/test_directory.cpp
+++ b/tests/test_directory.cpp
@@ -101,7 +101,7 @@
     // Takes all that waits; the last verdict.
     PageResult drain(TimePoint now, WaitingLinks &links, FollowerId id = OnlyFollower, ReplicaId replica = Near)
     {
-        PageResult verdict = PageResult::Taken;
+        PageResult verdict = PageResult::Applied;
         while (const std::optional<DirectoryPage> page = links.take(id)) {
             verdict = take(now, *page, replica);
         }
@@ -192,7 +192,7 @@
         CHECK(links.buffered(OnlyFollower) < MaxFollowerBacklog + 8192);
     }
     Balancer balancer;
-    PageResult verdict = PageResult::Taken;
+    PageResult verdict = PageResult::Applied;
     TimePoint now = Start;
     while (verdict != PageResult::Completed) {
         now += milliseconds(50);
@@ -298,7 +298,7 @@
 {
     Balancer balancer;
     DirectoryPage page{Life, 0, 4, true, false, {"quotes"}, {}};
-    CHECK(balancer.take(Start, page) == PageResult::Taken);
+    CHECK(balancer.take(Start, page) == PageResult::Applied);
     page.after = 4;
     page.upTo = 6;
     page.informed = true;
--- a/tests/test_target_probe.cpp
+++ b/tests/test_target_probe.cpp
@@ -382,7 +382,7 @@
     ports.report(Living, ports.listening.local_endpoint().port());
     ports.run();
     ports.report(Silent, ports.refusingPort);
-    ports.prober.turn(monotonicNow() + MaxTurnTime);
+    ports.prober.tick(monotonicNow() + MaxTurnTime);
     ports.run();
     CHECK(ports.prober.takeUnreachable().empty());
 }
