--- a/spec/directory.pml
+++ b/spec/directory.pml
@@ -1,17 +1,17 @@
 /* SPDX-License-Identifier: MIT
  *
- * Directory: a follower of a replica's directory of targets, in pages by number, through lost links, a restart of
- * the replica without its memory, and targets that end and are forgotten at any moment.
+ * Directory: a follower of a replica's target directory receives numbered pages, through lost links, a restart of the
+ * replica that loses its memory, and targets that end and are removed at any time.
  *
- * Two targets; a page holds one. A target is unknown (0), alive (1) or has left (2); one that left never comes back, but
- * an announcement that was held up may tell a replica without memory that it is alive.
- * The link keeps pages in order and loses all of them when it breaks.
+ * Two targets; a page holds one. A target is unknown (0), alive (1) or has left (2). A target that left never returns, but
+ * a delayed announcement may make a replica that lost its memory take it for alive.
+ * The link keeps pages in order and loses all pages in flight when it breaks.
  *
  * Properties (assertions):
- *   D1  a follower that has taken all pages holds for alive just those targets that the replica holds for alive, but for
+ *   D1  a follower that has applied all pages holds exactly those targets alive that the replica holds alive, except for
  *       those that it knows to have left
- *   D2  and knows of each that left and is not forgotten
- *   D3  a target that left is never taken for alive again
+ *   D2  and knows of each target that left and was not removed
+ *   D3  a target that left never counts as alive again
  *
  * Mutations: MUTATE_SKIP_NUMBER (D1), MUTATE_OLD_LIFE (D1), MUTATE_FORGET_QUIETLY (D1), MUTATE_KEEP_UNLISTED (D1),
  * MUTATE_REVIVE (D3).
@@ -23,14 +23,14 @@
 
 /* The replica. */
 byte held[2];
-bool over[2];          /* This target has left, whether or not that is remembered. */
-byte number[2];        /* Of its last change; 0: none. */
+bool over[2];          /* The target has left, whether or not the replica still knows. */
+byte number[2];        /* Number of its last change; 0 if none. */
 byte newest = 0;
 byte forgotten = 0;
 byte life = 1;
 byte changes = 0;
 
-/* What the replica keeps of its follower. */
+/* The replica's state of its follower. */
 bool linked = false;
 byte sent = 0;
 byte snapshotStart = 0;
@@ -139,7 +139,7 @@
     :: after == 0 ->
         knownLife = pageLife; taken = 0; listing = true; listed[0] = false; listed[1] = false
     :: after != 0 && (pageLife != knownLife || after != taken) ->
-        assert(false)                           /* The link keeps order, so there is no gap on it. */
+        assert(false)                           /* The link keeps the order, so there is no gap. */
     :: else -> skip
     fi;
     if
@@ -198,7 +198,7 @@
     fi
 }
 
-/* The replica lost its memory; targets that live announce themselves again, in any order, or have died meanwhile. */
+/* The replica loses its memory. Live targets announce themselves again, in any order, or have ended meanwhile. */
 inline restart() {
     loseLink();
     life++;
--- a/spec/drains.pml
+++ b/spec/drains.pml
@@ -1,17 +1,17 @@
 /* SPDX-License-Identifier: MIT
  *
- * Drains: an operator empties a data centre and takes it back, in turns, each order sent until it is answered. A leader
- * commits orders to a log, a follower applies them late, and both offer the list that they hold, with its revision, to a
- * balancer, over links that keep their order and lose what is on its way.
+ * Drains: an operator alternately drains a data centre and cancels the drain, and sends each order until it is answered. A
+ * leader commits orders to a log and a follower applies them later. Both send their current list with its revision to a
+ * balancer, over links that keep messages in order and may lose those in flight.
  *
  * Properties (assertions):
- *   E1  once an order is answered, the log ends with its effect until the next order is sent
- *   E2  a balancer holds what the log said at its revision, and never goes back
- *   E3  a replica that vouches holds every order that was answered one time-out ago
+ *   E1  once an order is answered, its effect is the state of the log until the next order is sent
+ *   E2  a balancer holds the list that the log had at its revision, and its revision never decreases
+ *   E3  a replica that confirms being current has applied every order that was answered at least one time-out ago
  *
- * Mutations: MUTATE_ANSWER_HELD (E1: an order that finds its effect at a follower is answered without the log),
- * MUTATE_TAKE_ANY (E2: a balancer takes any list), MUTATE_SAME_REVISION (E2: taking back does not raise the revision),
- * MUTATE_VOUCH_BY_HEARING (E3: hearing the leader is enough).
+ * Mutations: MUTATE_ANSWER_HELD (E1: an order whose effect is already in force at a follower is answered without the log),
+ * MUTATE_TAKE_ANY (E2: a balancer applies any list), MUTATE_SAME_REVISION (E2: cancelling a drain does not increment the
+ * revision), MUTATE_VOUCH_BY_HEARING (E3: a recent heartbeat of the leader is enough).
  */
 
 #ifndef ORDERS
@@ -19,22 +19,22 @@
 #endif
 #define LOG 5 /* One order may be committed twice. */
 
-bool entry[LOG];       /* What the committed entries ask for. */
+bool entry[LOG];       /* The orders in committed entries; true drains. */
 byte committed = 0;
-byte applied = 0;      /* Of them, by the follower. */
-byte told = 0;         /* The leader's commit index, as the follower last heard it. */
-bool heard = false;    /* Within a time-out. */
+byte applied = 0;      /* Number of entries that the follower has applied. */
+byte told = 0;         /* The leader's commit index in its last heartbeat to the follower. */
+bool heard = false;    /* A heartbeat arrived within the time-out. */
 
-byte revision[2];      /* Of the leader's list, and the follower's. */
+byte revision[2];      /* Of the leader's list and of the follower's. */
 bool drained[2];
-bool meaning[LOG];     /* Of the list with a revision. */
+bool listAt[LOG];      /* The list at each revision. */
 
-byte sent = 0;         /* Orders; the odd ones drain. */
-bool open = false;     /* The last one is not answered yet. */
-byte answeredAt = 0;   /* Entries that were committed when the last order was answered. */
+byte sent = 0;         /* Orders sent; odd ones drain. */
+bool open = false;     /* The last order is not answered yet. */
+byte answeredAt = 0;   /* Committed entries when the last order was answered. */
 byte answeredLongAgo = 0;
 
-byte held = 0;         /* The balancer's revision. */
+byte held = 0;         /* The revision that the balancer holds. */
 bool view = false;
 
 chan fromLeader = [1] of { byte, bool };
@@ -54,7 +54,7 @@
 #else
         revision[who]++;
 #endif
-        meaning[revision[who]] = order
+        listAt[revision[who]] = order
     :: else -> skip
     fi
 }
@@ -86,10 +86,10 @@
     fi;
 #endif
     assert(held >= number);              /* E2 */
-    assert(held == 0 || view == meaning[held])
+    assert(held == 0 || view == listAt[held])
 }
 
-inline vouch() {
+inline confirmCurrent() {
     if
 #ifdef MUTATE_VOUCH_BY_HEARING
     :: heard -> assert(applied >= answeredLongAgo)
@@ -112,9 +112,9 @@
     :: open && drained[1] == wanted -> atomic { answer() }
 #endif
     :: applied < committed -> atomic { apply(1, entry[applied]); applied++ }
-    :: atomic { told = committed; heard = true }             /* A heartbeat comes through. */
-    :: atomic { heard = false; answeredLongAgo = answeredAt } /* A time-out passes without one. */
-    :: atomic { vouch() }
+    :: atomic { told = committed; heard = true }             /* A heartbeat arrives. */
+    :: atomic { heard = false; answeredLongAgo = answeredAt } /* The time-out passes without one. */
+    :: atomic { confirmCurrent() }
     :: nfull(fromLeader) -> fromLeader!revision[0], drained[0]
     :: nfull(fromFollower) -> fromFollower!revision[1], drained[1]
     :: atomic { nempty(fromLeader) -> fromLeader?number, list; take(number, list); assert(held >= highest); highest = held }
--- a/spec/heard.pml
+++ b/spec/heard.pml
@@ -1,40 +1,40 @@
 /* SPDX-License-Identifier: MIT
  *
- * Heard: a replica's word on a target that it hears, given to another replica by differences and renewed by beats, through
- * lost links. The target comes, is missed and comes again at any moment.
+ * Target leases: a replica holds a lease on a target that announces itself to it, sends changes to another replica and
+ * renews the lease by heartbeats, through lost links. The lease is added, expires and is added again at any time.
  *
- * The word is bound to the link on which it was given. The link keeps beats in order and loses all of them when it breaks;
- * the first beat on a link names all that the sender vouches for.
+ * A lease is bound to the link on which it was received. The link keeps heartbeats in order and loses all heartbeats in
+ * flight when it breaks; the first heartbeat on a link adds all leases of the sender.
  *
  * Properties (assertions):
- *   H1  a replica that has taken all beats of its link vouches for the target just as the sender does
- *   H2  without a link it holds no word of the sender
+ *   H1  a replica that has applied all heartbeats of its link holds the same lease as the sender
+ *   H2  without a link it holds no lease of the sender
  *
- * Mutations: MUTATE_KEEP_WORD (H2), MUTATE_OTHER_LINK (H1): the first beat takes another way than the differences,
- * MUTATE_NO_WHOLE (H1): a link begins without what was told before.
+ * Mutations: MUTATE_KEEP_WORD (H2): leases survive the loss of their link, MUTATE_OTHER_LINK (H1): the first heartbeat is
+ * sent on another link than the differences, MUTATE_NO_WHOLE (H1): a link begins without the leases that were sent before.
  */
 
 #ifndef CHANGES
 #define CHANGES 4
 #endif
 
-#define KEEP 0
-#define NAMED 1
-#define MISSED 2
+#define RENEW 0
+#define ADDED 1
+#define EXPIRED 2
 
-/* The sender: whether it hears the target, and whether it has named it. */
+/* The sender: whether the target announces itself here, and whether its lease is marked as sent. */
 bool hears = false;
-bool told = false;
+bool sent = false;
 byte changes = 0;
-bool done = false;     /* The target changes no more. */
+bool done = false;     /* The target no longer changes. */
 byte breaks = 0;
 
 /* The receiver. */
-bool word = false;
+bool lease = false;
 
 bool linked = false;
-chan beats = [3] of { byte };
-chan other = [3] of { byte };
+chan heartbeats = [3] of { byte };
+chan otherLink = [3] of { byte };
 
 active proctype target()
 {
@@ -48,28 +48,28 @@
 {
     do
     :: atomic {
-        linked && nfull(beats) ->
+        linked && nfull(heartbeats) ->
         if
-        :: hears && !told -> told = true; beats ! NAMED
-        :: !hears && told -> told = false; beats ! MISSED
-        :: else -> beats ! KEEP
+        :: hears && !sent -> sent = true; heartbeats ! ADDED
+        :: !hears && sent -> sent = false; heartbeats ! EXPIRED
+        :: else -> heartbeats ! RENEW
         fi
     }
-    /* Without a link the sender goes on, and nobody is told. */
-    :: atomic { !linked && hears != told -> told = hears }
+    /* Without a link the sender marks its changes as sent, although nobody receives them. */
+    :: atomic { !linked && hears != sent -> sent = hears }
     :: atomic {
         !linked && breaks < 3 ->
         linked = true;
         breaks++;
 #ifdef MUTATE_OTHER_LINK
         if
-        :: told -> other ! NAMED
+        :: sent -> otherLink ! ADDED
         :: else -> skip
         fi
 #elif !defined(MUTATE_NO_WHOLE)
         if
-        :: told -> beats ! NAMED
-        :: else -> beats ! KEEP
+        :: sent -> heartbeats ! ADDED
+        :: else -> heartbeats ! RENEW
         fi
 #endif
     }
@@ -77,31 +77,31 @@
         linked && breaks < 3 ->
         linked = false;
         do
-        :: beats ? _
-        :: empty(beats) -> break
+        :: heartbeats ? _
+        :: empty(heartbeats) -> break
         od;
 #ifndef MUTATE_KEEP_WORD
-        word = false;
+        lease = false;
 #endif
-        assert(!word) /* H2 */
+        assert(!lease) /* H2 */
     }
-    :: atomic { linked && done && hears == told && empty(beats) && empty(other) -> assert(word == told); break } /* H1 */
+    :: atomic { linked && done && hears == sent && empty(heartbeats) && empty(otherLink) -> assert(lease == sent); break } /* H1 */
     od
 }
 
 active proctype receiver()
 {
-    byte beat;
+    byte heartbeat;
     do
     :: atomic {
-        beats ? beat ->
+        heartbeats ? heartbeat ->
         if
-        :: beat == NAMED -> word = true
-        :: beat == MISSED -> word = false
+        :: heartbeat == ADDED -> lease = true
+        :: heartbeat == EXPIRED -> lease = false
         :: else -> skip
         fi
     }
-    :: atomic { other ? beat -> word = true }
+    :: atomic { otherLink ? heartbeat -> lease = true }
     :: timeout -> break
     od
 }
