--- a/src/announcement_choice.h
+++ b/src/announcement_choice.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Announcement choice: at which replica a target announces itself.
+// Announcement choice: selects the replica at which a target announces itself.
 //
-// The pattern that it answers: a target that calls the replicas in turn keeps a connection to each, 3,000 at each replica
-// where there are 3,000 targets, and four fifths of its calls cross between data centres. With one replica each it is a
-// fifth as many connections, in the target's own data centre.
+// A target that used all replicas in turn would keep a connection to each of them: with 3,000 targets, 3,000 connections
+// at each replica, and four fifths of the announcements would cross data centres (of five). With one replica assigned to
+// each target there are a fifth as many connections, all within the target's own data centre.
 #pragma once
 
 #include "hash.h"
@@ -15,16 +15,16 @@
 
 namespace Robinrail {
 
-// One announcement in so many tells a target where to go. A replica that has come back gets its targets again over so
-// many announcements, and not all their connections within one.
+// One in this many announcements is answered with the replica to use. A replica that returns thus receives its targets'
+// connections spread over this many announcement intervals instead of all within one.
 inline constexpr std::uint64_t AnnouncementsPerRedirect = 4;
 
-// The replica for a target, one of those that can be reached; empty if it is not told with this announcement. Replicas of
-// its data centre go first, and targets spread over equals by rendezvous hashing.
+// The reachable replica that a target should use; empty if this announcement's answer does not name one. Replicas in the
+// target's data centre are preferred; rendezvous hashing spreads the targets over replicas of equal preference.
 inline std::optional<ReplicaId> announcementReplica(const TargetRecord &record, std::span<const ReplicaPlace> reachable)
 {
-    const bool told = (record.sequence + hashPair(value(record.key), 0)) % AnnouncementsPerRedirect == 0;
-    if (!told || reachable.empty()) {
+    const bool redirect = (record.sequence + hashPair(value(record.key), 0)) % AnnouncementsPerRedirect == 0;
+    if (!redirect || reachable.empty()) {
         return std::nullopt;
     }
     const auto rank = [&record](const ReplicaPlace &place) {
--- a/src/data_centre_drains.h
+++ b/src/data_centre_drains.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Data centre drains: which data centres get no new flows, as the replicas agree on it.
+// Data centre drains: the data centres that are assigned no new flows, as replicated state of the replicas.
 //
-// Orders carry no number of their own, so the log of the replicas orders them: the last one holds, and an order that
-// finds its effect in force changes nothing. Each change raises the revision, by which balancers and replicas tell the
-// newer of two lists.
+// Orders carry no sequence number; the replicated log orders them. The last order is in force, and an order whose effect is
+// already in force changes nothing. Each change increments the revision, by which balancers and replicas recognise the newer
+// of two lists.
 #pragma once
 
 #include "codec.h"
@@ -15,7 +15,7 @@
 
 namespace Robinrail {
 
-// An operator's order: empty a data centre of new flows, or take it back.
+// An operator's order: stop assigning new flows to a data centre, or resume.
 struct DataCentreDrainOrder {
     std::string dataCentre;
     bool drained = true;
@@ -31,7 +31,7 @@
 class DataCentreDrains
 {
 public:
-    // Puts an order in force; whether that changed anything.
+    // Applies an order. Returns whether it changed anything.
     bool apply(const DataCentreDrainOrder &order)
     {
         const auto at = std::lower_bound(m_drained.begin(), m_drained.end(), order.dataCentre);
@@ -48,7 +48,7 @@
         return true;
     }
 
-    // How many orders changed the list; 0 without any.
+    // The number of orders that changed the list.
     std::uint64_t revision() const
     {
         return m_revision;
--- a/src/directory_digest.cpp
+++ b/src/directory_digest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Tells the hash that places a target in a part from other hashes of its key.
+// Makes the hash that assigns a target to a bucket independent of other hashes of its key.
 constexpr std::uint64_t BucketSalt = 0x6469676573740000;
 
 bool isBucketCount(std::size_t buckets)
--- a/src/directory_digest.h
+++ b/src/directory_digest.h
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Directory digest: what a directory of targets holds, in a few kilobytes, so that two replicas find what one of them
-// lacks without sending what both have.
+// Directory digest: a summary of a target directory in a few kilobytes, with which two replicas find the targets that one of
+// them lacks without sending those that both have.
 //
-// The pattern that it answers: replicas that link up must end with the same targets. A list of them all on each link costs
-// replicas x replicas x targets after a loss of power, when callers wait for the processors that encode it, although the
-// lists are nearly alike. Kin: the hash trees by which Dynamo's replicas compare themselves (DeCandia and others 2007),
-// here of one level.
+// Replicas that connect must end up with the same targets. After a power loss, a full list on each link would cost
+// replicas x replicas x targets, on processors that callers are waiting for, although the lists are nearly identical.
+// Related: the hash trees with which Dynamo's replicas compare their data (DeCandia and others 2007), here with one level.
 #pragma once
 
 #include "target_record.h"
@@ -16,14 +15,14 @@
 
 namespace Robinrail {
 
-// Targets for each hash of a digest: a difference costs so many records, and each hash five bytes.
+// Average number of targets per bucket of a digest: the records sent for one difference. Each hash takes five bytes.
 inline constexpr std::size_t TargetsPerBucket = 8;
 
-// Fewest and most hashes of a digest; powers of two.
+// Minimum and maximum number of buckets in a digest; powers of two.
 inline constexpr std::size_t MinDigestBuckets = 16;
 inline constexpr std::size_t MaxDigestBuckets = 16384;
 
-// Asks a replica whether its directory is the same, by the hash of a digest of so many parts.
+// Asks a replica whether its directory is identical, by the hash of a digest with the given number of buckets.
 struct DirectoryCompare {
     std::uint32_t buckets = 0;
     std::uint64_t hash = 0;
@@ -33,14 +32,14 @@
         return std::tie(buckets, hash);
     }
 
-    // Whether the number of parts is one that a replica sends.
+    // Whether the number of buckets is one that a replica sends.
     bool isValid() const;
 };
 
-// The answer: a hash for each part, so many as were named in the question. The part of a target follows from its key.
+// The answer: a hash for each bucket, with the number of buckets from the request. A target's bucket follows from its key.
 struct DirectoryDigest {
     bool informed = false; // All targets have had time to become known to the sender.
-    std::vector<std::uint32_t> buckets; // Empty: the directories are the same.
+    std::vector<std::uint32_t> buckets; // Empty if the directories are identical.
 
     auto fields()
     {
@@ -50,7 +49,7 @@
     bool isValid() const;
 };
 
-// Asks for the targets of these parts, of so many in all.
+// Queries the targets of the wanted buckets, out of `buckets`.
 struct DirectoryQuery {
     std::uint32_t buckets = 0;
     std::vector<std::uint32_t> wanted;
@@ -63,9 +62,9 @@
     bool isValid() const;
 };
 
-// All that was asked for has been sent.
+// All targets that were queried have been sent.
 struct DirectoryQueryDone {
-    bool informed = false; // As in DirectoryDigest, by now.
+    bool informed = false; // As in DirectoryDigest, at the time of this message.
 
     auto fields()
     {
@@ -73,19 +72,20 @@
     }
 };
 
-// The number of parts for so many targets.
+// The number of buckets for a number of targets.
 std::size_t digestBuckets(std::size_t targets);
 
-// The part of a target among so many.
+// The bucket of a target, out of `buckets`.
 std::uint32_t digestBucket(TargetKey key, std::size_t buckets);
 
-// A hash of what replicas must agree on: the lifetime and what of it would be news. Not of what each announcement changes.
+// A hash of the fields that replicas must agree on: the lifetime and the fields whose changes are forwarded, but not those
+// that change with each announcement.
 std::uint32_t digestOf(const TargetRecord &record);
 
-// One hash for all parts.
+// One hash over all buckets.
 std::uint64_t digestHash(std::span<const std::uint32_t> buckets);
 
-// Parts whose hashes differ. Both must be of the same size.
+// Buckets whose hashes differ. Both digests must have the same size.
 std::vector<std::uint32_t> differingBuckets(std::span<const std::uint32_t> own, std::span<const std::uint32_t> other);
 
 } // namespace Robinrail
--- a/src/directory_follower.cpp
+++ b/src/directory_follower.cpp
@@ -42,9 +42,9 @@
 FollowDirectory DirectoryFollower::request(ReplicaId replica) const
 {
     const auto at = m_progress.find(replica);
-    // A list that was broken off says nothing of the targets that had not come yet.
-    const bool goesOn = at != m_progress.end() && !at->second.listing;
-    return goesOn ? FollowDirectory{at->second.life, at->second.number} : FollowDirectory{};
+    // An interrupted transfer says nothing about the targets that were not received yet.
+    const bool resumable = at != m_progress.end() && !at->second.listing;
+    return resumable ? FollowDirectory{at->second.life, at->second.number} : FollowDirectory{};
 }
 
 PageResult DirectoryFollower::take(TimePoint now, ReplicaId replica, const DirectoryPage &page)
--- a/src/directory_follower.h
+++ b/src/directory_follower.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Directory follower: a balancer's side of the directories that it follows; takes their pages in order and asks for
-// what it missed. DirectoryPublisher is the other side.
+// Directory follower: the balancer's side of following a directory. Applies its pages in order and requests the changes
+// that were missed. DirectoryPublisher is the replica's side.
 #pragma once
 
 #include "node_message.h"
@@ -11,37 +11,37 @@
 
 namespace Robinrail {
 
-// What came of a page.
+// The result of applying a page.
 enum class PageResult : std::uint8_t {
     Applied,
-    Completed, // And with it all that the replica knows is known here.
-    Gap, // It does not follow what was taken before: ask anew with request().
-    Malformed, // It contradicts itself.
+    Completed, // Applied, and everything that the replica knows is now known here.
+    Gap, // Does not follow the last page that was applied: send another request().
+    Malformed, // Inconsistent.
 };
 
 class DirectoryFollower
 {
 public:
-    // Pages go into `targets`, which must outlive this.
+    // Applies pages to `targets`, which must outlive this.
     explicit DirectoryFollower(SteeringTargets &targets);
 
-    // What to ask this replica for: what follows the pages taken, or all.
+    // The request for a replica: the changes after the last page that was applied, or everything.
     FollowDirectory request(ReplicaId replica) const;
 
     PageResult take(TimePoint now, ReplicaId replica, const DirectoryPage &page);
 
-    // The link to a replica is gone. What it told is kept, so that it need only tell the difference later.
+    // The link to a replica was lost. Its state is kept, so that only the difference need be sent later.
     void lost(ReplicaId replica);
 
-    // This replica is followed no more.
+    // The replica is no longer followed.
     void forget(ReplicaId replica);
 
 private:
     struct Progress {
         std::uint64_t life = 0;
-        std::uint64_t number = 0; // All changes up to this one were taken.
-        bool listing = false; // The whole directory is coming; so far these came:
-        std::set<TargetKey> listed;
+        std::uint64_t number = 0; // All changes up to this one were applied.
+        bool listing = false; // The whole directory is being received.
+        std::set<TargetKey> listed; // Received so far while listing.
     };
 
     SteeringTargets &m_targets;
--- a/src/directory_log.cpp
+++ b/src/directory_log.cpp
@@ -53,11 +53,11 @@
     return number >= m_forgotten;
 }
 
-DirectoryLogSlice DirectoryLog::after(std::uint64_t number, std::size_t most) const
+DirectoryLogSlice DirectoryLog::after(std::uint64_t number, std::size_t limit) const
 {
     DirectoryLogSlice slice{m_newest, {}};
     for (auto at = m_order.upper_bound(number); at != m_order.end(); ++at) {
-        if (slice.keys.size() == most) {
+        if (slice.keys.size() == limit) {
             slice.upTo = std::prev(at)->first;
             break;
         }
--- a/src/directory_log.h
+++ b/src/directory_log.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Directory log: in which order the targets of a replica's directory changed, for balancers that follow it.
+// Directory log: a compacted log of the changes to a replica's directory, for the balancers that follow it.
 //
-// The pattern that it answers: targets change a hundred times a second, and hundreds of balancers must hear of it, some
-// of them slowly, some after an absence. Each change moves its target to the end of the log under a new number, so a
-// follower is one number, a target stands in the log once, and whoever lags gets each target once however often it
-// changed. Memory grows with the directory, never with the followers' lag. Kin: compacted topics of Kafka, watches by
+// Targets change about a hundred times per second, and hundreds of balancers must be informed, some over slow links and some
+// after a disconnection. Each change moves its target to the end of the log under a new number. The state of a follower is
+// therefore one number, each target is in the log once, and a lagging follower receives each target once, however often it
+// changed. Memory is bounded by the directory, not by the followers' lag. Related: compacted topics of Kafka, watches by
 // revision of etcd.
 #pragma once
 
@@ -17,8 +17,8 @@
 
 namespace Robinrail {
 
-// Part of a log: targets in the order of their changes. Whoever holds all up to the number before it holds all up to
-// `upTo` with it.
+// Part of a log: targets in the order of their changes. A follower that has all changes before the slice has all changes
+// up to `upTo` after applying it.
 struct DirectoryLogSlice {
     std::uint64_t upTo = 0;
     std::vector<TargetKey> keys;
@@ -27,36 +27,36 @@
 class DirectoryLog
 {
 public:
-    // `life` tells the numbers of this log from those of any other; not 0.
+    // `life` identifies this run of the log: numbers of another run are not comparable. Not 0.
     explicit DirectoryLog(std::uint64_t life);
 
-    // Followers must hear of this target.
+    // The target changed; followers must be informed.
     void changed(TargetKey key);
 
-    // The directory no longer holds this target.
+    // The target was removed from the directory.
     void forget(TargetKey key);
 
     std::uint64_t life() const;
 
-    // Number of the last change; 0 if there was none.
+    // Number of the last change; 0 if there is none.
     std::uint64_t newest() const;
 
-    // Where a follower goes on that has all changes of a log's life up to a number: there, or at 0 if this log can't tell
-    // it all that it missed.
+    // The number from which a follower continues that has all changes of run `life` up to `after`: that number, or 0 if
+    // this log no longer has all changes that it missed.
     std::uint64_t resume(std::uint64_t life, std::uint64_t after) const;
 
-    // Whether all changes after a number can still be told: no target that changed since was forgotten.
+    // Whether the log has all changes after a number: no target that changed since then was removed.
     bool isCompleteAfter(std::uint64_t number) const;
 
-    // What changed after a number, at most so many targets.
-    DirectoryLogSlice after(std::uint64_t number, std::size_t most) const;
+    // The changes after a number, at most `limit` targets.
+    DirectoryLogSlice after(std::uint64_t number, std::size_t limit) const;
 
 private:
     std::uint64_t m_life;
     std::uint64_t m_newest = 0;
-    std::uint64_t m_forgotten = 0; // The highest number of a target that was forgotten.
+    std::uint64_t m_forgotten = 0; // The highest number of a target that was removed.
     std::map<std::uint64_t, TargetKey> m_order;
-    boost::unordered_flat_map<std::uint64_t, std::uint64_t> m_numbers; // By key: its number in m_order.
+    boost::unordered_flat_map<std::uint64_t, std::uint64_t> m_numbers; // Number in m_order by key.
 };
 
 } // namespace Robinrail
--- a/src/directory_publisher.cpp
+++ b/src/directory_publisher.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Position of a service in a page's list, which it joins if it is new there.
-std::uint16_t serviceIn(std::vector<std::string> &services, const std::string &service)
+// Index of a service in the list of a page; appends the service if it is missing.
+std::uint16_t serviceIndex(std::vector<std::string> &services, const std::string &service)
 {
     const auto at = std::find(services.begin(), services.end(), service);
     const auto position = static_cast<std::uint16_t>(at - services.begin());
@@ -53,19 +53,20 @@
 {
     for (const TargetKey key : keys) {
         m_log.forget(key);
-        m_pages.clear(); // They may hold it.
+        m_pages.clear(); // They may contain the target.
     }
 }
 
 bool DirectoryPublisher::follow(FollowerId follower, const FollowDirectory &request)
 {
     const std::uint64_t number = m_log.resume(request.life, request.after);
-    m_followers[follower] = begun(number);
+    m_followers[follower] = startingAt(number);
     return number == request.after;
 }
 
-// What was forgotten before a list began is not in it, and so known to be gone; it asks for no new list.
-DirectoryPublisher::Follower DirectoryPublisher::begun(std::uint64_t number) const
+// A target that was removed before the transfer of the whole directory began is not part of it, so its removal does not
+// require another transfer.
+DirectoryPublisher::Follower DirectoryPublisher::startingAt(std::uint64_t number) const
 {
     return {number, number == 0 ? m_log.newest() : 0, false, false};
 }
@@ -80,7 +81,7 @@
     return m_followers.size();
 }
 
-bool DirectoryPublisher::owes(const Follower &follower, bool informed) const
+bool DirectoryPublisher::hasPending(const Follower &follower, bool informed) const
 {
     return follower.number != m_log.newest() || !follower.sentLastPage || (informed && !follower.sentInformed);
 }
@@ -91,9 +92,9 @@
         return now - each.second.made >= PageLifetime;
     });
     const auto at = m_pages.find(number);
-    // An empty page tells that nothing follows; once something does, it leads nowhere.
-    const bool leads = at != m_pages.end() && (at->second.upTo != number || m_log.newest() == number);
-    if (leads && at->second.informed == informed) {
+    // An empty page says that there are no further changes; it is not reused once there are.
+    const bool usable = at != m_pages.end() && (at->second.upTo != number || m_log.newest() == number);
+    if (usable && at->second.informed == informed) {
         return at->second;
     }
     return m_pages[number] = makePage(now, informed, number);
@@ -110,7 +111,7 @@
     page.informed = informed;
     for (const TargetKey key : slice.keys) {
         if (const std::optional<TargetStatus> status = m_directory.status(now, key)) {
-            page.targets.push_back(listedOf(*status, serviceIn(page.services, status->record.service)));
+            page.targets.push_back(listedOf(*status, serviceIndex(page.services, status->record.service)));
         }
     }
     return {now, page.upTo, page.last, informed, encodeMessage(NodeMessage(std::move(page)))};
--- a/src/directory_publisher.h
+++ b/src/directory_publisher.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Directory publisher: a replica tells balancers that follow it what changes in its directory of targets.
+// Directory publisher: sends the changes of a replica's target directory to the balancers that follow it.
 //
-// The pattern that it answers: each change of a target told to each balancer by each replica, one message a change, grows
-// with the square of the deployment, most of it between data centres. Whole lists from several replicas at once keep a slow
-// link busy for longer than it may be silent. Here a balancer follows one replica, changes go out in batches, and a list
-// comes in pages that leave room for pings.
+// If every replica sent every change to every balancer in a message of its own, traffic would grow with the square of the
+// deployment, most of it between data centres. Full lists from several replicas at once would occupy a slow link for longer
+// than the time after which a silent link counts as lost. Here a balancer follows one replica, changes are sent in batches,
+// and the full list is sent in pages that leave room for pings.
 #pragma once
 
 #include "directory_log.h"
@@ -17,20 +17,20 @@
 
 namespace Robinrail {
 
-// A balancer that follows, by the link that it asked on.
+// A following balancer, identified by its link.
 using FollowerId = std::uint64_t;
 
-// Targets of one page at most: 16 ms on a link of 2 Mbit/s, so that a ping waits for no longer.
+// Maximum number of targets in a page: 16 ms on a link of 2 Mbit/s, which bounds the delay of a ping.
 inline constexpr std::size_t PageTargets = 128;
 
-// Pages are sent to a follower while less than this waits to be written to it, bytes: 65 ms on a link of 2 Mbit/s.
+// Bytes: pages are sent to a follower while less than this is queued on its link. 65 ms on a link of 2 Mbit/s.
 inline constexpr std::size_t MaxFollowerBacklog = std::size_t{16} << 10U;
 
-// A page that was made for one follower is good for others for so long: after a loss of power hundreds ask at once, and
-// a page takes longer to encode than to send. What changed meanwhile follows under higher numbers.
+// How long an encoded page is cached for other followers: after a power loss hundreds of them ask at once, and a page takes
+// longer to encode than to send. Later changes follow under higher numbers.
 inline constexpr Duration PageLifetime = std::chrono::milliseconds(100);
 
-// Where pages go: links that tell how much waits on them.
+// Links for pages, which report how many bytes are queued on them.
 template<typename L>
 concept PageLinks = requires(L &links, FollowerId follower, const Bytes &message)
 {
@@ -43,25 +43,25 @@
 class DirectoryPublisher
 {
 public:
-    // Publishes `directory`, which must outlive it, under numbers of this life.
+    // Publishes `directory`, which must outlive this. `life` identifies the run, as in DirectoryLog.
     DirectoryPublisher(const TargetDirectory &directory, std::uint64_t life);
 
-    // Followers must hear of this target; the directory no longer holds these.
+    // A target changed; targets were removed from the directory.
     void changed(TargetKey key);
     void forget(std::span<const TargetKey> keys);
 
-    // A balancer follows from now on; a second request on the same link begins anew. Whether it goes on where it was;
-    // otherwise it gets the whole directory.
+    // Adds a follower; a second request on the same link restarts it. Returns whether it continues where it was; otherwise
+    // it receives the whole directory.
     bool follow(FollowerId follower, const FollowDirectory &request);
     void unfollow(FollowerId follower);
 
-    // Sends what is due to one follower, or to all. A follower that lags behind a target that was forgotten gets the whole
-    // once more. `informed`: all targets have had time to become known here.
+    // Sends pending pages to one follower, or to all. A follower that has not received a change to a target that was since
+    // removed receives the whole directory again. `informed`: all targets have had time to become known here.
     template<PageLinks Links>
     void publishTo(TimePoint now, bool informed, FollowerId follower, Links &links)
     {
         if (const auto at = m_followers.find(follower); at != m_followers.end()) {
-            serve(now, informed, at->first, at->second, links);
+            sendPages(now, informed, at->first, at->second, links);
         }
     }
 
@@ -69,7 +69,7 @@
     void publish(TimePoint now, bool informed, Links &links)
     {
         for (auto &[id, follower] : m_followers) {
-            serve(now, informed, id, follower, links);
+            sendPages(now, informed, id, follower, links);
         }
     }
 
@@ -77,10 +77,10 @@
 
 private:
     struct Follower {
-        std::uint64_t number = 0; // It was sent all changes up to this one.
-        std::uint64_t snapshotStart = 0; // The newest number when it began to get the whole; 0 once it has it.
-        bool sentLastPage = false; // It was told that it has them all, at some moment.
-        bool sentInformed = false; // The same by an informed replica.
+        std::uint64_t number = 0; // All changes up to this one were sent.
+        std::uint64_t snapshotStart = 0; // Number of the last change when the transfer of the whole directory began; 0 when complete.
+        bool sentLastPage = false; // A page marked as the last one was sent.
+        bool sentInformed = false; // Such a page was sent while this replica was informed.
     };
     struct Page {
         TimePoint made;
@@ -91,12 +91,12 @@
     };
 
     template<PageLinks Links>
-    void serve(TimePoint now, bool informed, FollowerId id, Follower &follower, Links &links)
+    void sendPages(TimePoint now, bool informed, FollowerId id, Follower &follower, Links &links)
     {
         if (!m_log.isCompleteAfter(std::max(follower.number, follower.snapshotStart))) {
-            follower = begun(0);
+            follower = startingAt(0);
         }
-        while (owes(follower, informed) && links.buffered(id) < MaxFollowerBacklog) {
+        while (hasPending(follower, informed) && links.buffered(id) < MaxFollowerBacklog) {
             const Page &page = pageAfter(now, informed, follower.number);
             links.sendEncoded(id, page.bytes);
             follower.number = page.upTo;
@@ -106,15 +106,15 @@
         }
     }
 
-    Follower begun(std::uint64_t number) const;
-    bool owes(const Follower &follower, bool informed) const;
+    Follower startingAt(std::uint64_t number) const;
+    bool hasPending(const Follower &follower, bool informed) const;
     const Page &pageAfter(TimePoint now, bool informed, std::uint64_t number);
     Page makePage(TimePoint now, bool informed, std::uint64_t number) const;
 
     const TargetDirectory &m_directory;
     DirectoryLog m_log;
     std::map<FollowerId, Follower> m_followers;
-    std::map<std::uint64_t, Page> m_pages; // By the number that they follow.
+    std::map<std::uint64_t, Page> m_pages; // By the number after which they begin.
 };
 
 } // namespace Robinrail
--- a/src/directory_reconciler.cpp
+++ b/src/directory_reconciler.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-// Two replicas may have two links, one dialled by each; the later one may have come up after a loss, so it is asked.
+// Two replicas may have two links, one dialled by each. The later one may have been established after a loss, so it is used.
 void DirectoryReconciler::linked(ReplicaId peer, ReplicaLinkId link)
 {
     std::erase_if(m_waiting, [peer](const Peer &each) {
@@ -25,30 +25,30 @@
     std::erase_if(m_waiting, [link](const Peer &each) {
         return each.link == link;
     });
-    if (isAsked(link)) {
-        m_asked.reset();
+    if (isCurrent(link)) {
+        m_current.reset();
     }
 }
 
-std::optional<DirectoryReconciler::Question> DirectoryReconciler::ask(TimePoint now)
+std::optional<DirectoryReconciler::Comparison> DirectoryReconciler::nextComparison(TimePoint now)
 {
-    if (m_asked && now - m_progressAt >= ReconcileTimeout) {
-        m_waiting.push_back(*m_asked);
-        m_asked.reset();
+    if (m_current && now - m_lastProgress >= ReconcileTimeout) {
+        m_waiting.push_back(*m_current);
+        m_current.reset();
     }
-    if (m_asked || m_waiting.empty()) {
+    if (m_current || m_waiting.empty()) {
         return std::nullopt;
     }
-    m_asked = m_waiting.front();
+    m_current = m_waiting.front();
     m_waiting.pop_front();
-    m_progressAt = now;
+    m_lastProgress = now;
     m_buckets = digestBuckets(m_directory.size());
-    return Question{m_asked->link, {static_cast<std::uint32_t>(m_buckets), digestHash(m_directory.digest(m_buckets))}};
+    return Comparison{m_current->link, {static_cast<std::uint32_t>(m_buckets), digestHash(m_directory.digest(m_buckets))}};
 }
 
-std::optional<DirectoryQuery> DirectoryReconciler::digest(TimePoint now, ReplicaLinkId link, const DirectoryDigest &digest)
+std::optional<DirectoryQuery> DirectoryReconciler::onDigest(TimePoint now, ReplicaLinkId link, const DirectoryDigest &digest)
 {
-    if (!isAsked(link)) {
+    if (!isCurrent(link)) {
         return std::nullopt;
     }
     DirectoryQuery query{static_cast<std::uint32_t>(m_buckets), {}};
@@ -57,31 +57,31 @@
     }
     if (query.wanted.empty()) {
         m_informed = m_informed || digest.informed;
-        m_asked.reset();
+        m_current.reset();
         return std::nullopt;
     }
-    m_progressAt = now;
+    m_lastProgress = now;
     return query;
 }
 
-void DirectoryReconciler::progressed(TimePoint now, ReplicaLinkId link)
+void DirectoryReconciler::onProgress(TimePoint now, ReplicaLinkId link)
 {
-    if (isAsked(link)) {
-        m_progressAt = now;
+    if (isCurrent(link)) {
+        m_lastProgress = now;
     }
 }
 
-void DirectoryReconciler::answered(ReplicaLinkId link, const DirectoryQueryDone &answer)
+void DirectoryReconciler::onQueryDone(ReplicaLinkId link, const DirectoryQueryDone &done)
 {
-    if (isAsked(link)) {
-        m_informed = m_informed || answer.informed;
-        m_asked.reset();
+    if (isCurrent(link)) {
+        m_informed = m_informed || done.informed;
+        m_current.reset();
     }
 }
 
-bool DirectoryReconciler::isAsked(ReplicaLinkId link) const
+bool DirectoryReconciler::isCurrent(ReplicaLinkId link) const
 {
-    return m_asked && m_asked->link == link;
+    return m_current && m_current->link == link;
 }
 
 bool DirectoryReconciler::informed() const
--- a/src/directory_reconciler.h
+++ b/src/directory_reconciler.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Directory reconciler: a replica's side of finding out what other replicas know of the targets and it does not.
+// Directory reconciler: finds targets that other replicas know and this replica does not (anti-entropy).
 //
-// Replicas are asked one after the other, each for a digest of that moment: what all others know comes once and not once
-// from each, and what is told meanwhile on the links that are up does not count as a difference. DirectoryResponder is the
-// other side.
+// Replicas are queried one after the other, each for its current digest. Targets that all of them know are thus received
+// once and not once from each, and changes that arrive meanwhile over established links do not count as differences.
+// DirectoryResponder is the answering side.
 #pragma once
 
 #include "directory_digest.h"
@@ -18,36 +18,36 @@
 // A link to another replica.
 using ReplicaLinkId = std::uint64_t;
 
-// A replica that was asked and sent nothing for so long is asked again after the others; a link that says nothing at all
-// counts as dead then.
+// A replica that was queried and sent nothing for this long is queried again after the others. A link that is entirely
+// silent for this long counts as lost.
 inline constexpr Duration ReconcileTimeout = std::chrono::seconds(2);
 
 class DirectoryReconciler
 {
 public:
-    struct Question {
+    struct Comparison {
         ReplicaLinkId link = 0;
         DirectoryCompare compare;
     };
 
-    // Compares `directory`, which must outlive it, with those of others.
+    // Compares `directory`, which must outlive this, with those of other replicas.
     explicit DirectoryReconciler(const TargetDirectory &directory);
 
-    // A link to another replica came up, whose directory is to be compared; is gone.
+    // A link to another replica was established, which schedules a comparison; it was lost.
     void linked(ReplicaId peer, ReplicaLinkId link);
     void closed(ReplicaLinkId link);
 
-    // Whom to ask now; empty while a question is open, or all have been asked.
-    std::optional<Question> ask(TimePoint now);
+    // The next comparison to request; empty while one is in progress or none are scheduled.
+    std::optional<Comparison> nextComparison(TimePoint now);
 
-    // The answer came. What to ask for, of that link; empty if nothing differs.
-    std::optional<DirectoryQuery> digest(TimePoint now, ReplicaLinkId link, const DirectoryDigest &digest);
+    // A digest was received. Returns the query to send on that link; empty if nothing differs.
+    std::optional<DirectoryQuery> onDigest(TimePoint now, ReplicaLinkId link, const DirectoryDigest &digest);
 
-    // Some of what was asked for may have come on this link; all of it has.
-    void progressed(TimePoint now, ReplicaLinkId link);
-    void answered(ReplicaLinkId link, const DirectoryQueryDone &answer);
+    // Some of the queried targets may have arrived on this link; all of them have.
+    void onProgress(TimePoint now, ReplicaLinkId link);
+    void onQueryDone(ReplicaLinkId link, const DirectoryQueryDone &done);
 
-    // Whether all that a replica held that knew of all targets was taken.
+    // Whether the complete directory of an informed replica has been received.
     bool informed() const;
 
 private:
@@ -55,13 +55,13 @@
         ReplicaId replica{};
         ReplicaLinkId link = 0;
     };
-    bool isAsked(ReplicaLinkId link) const;
+    bool isCurrent(ReplicaLinkId link) const;
 
     const TargetDirectory &m_directory;
     std::deque<Peer> m_waiting;
-    std::optional<Peer> m_asked;
-    TimePoint m_progressAt;
-    std::size_t m_buckets = 0; // Of the open question.
+    std::optional<Peer> m_current;
+    TimePoint m_lastProgress;
+    std::size_t m_buckets = 0; // Of the comparison in progress.
     bool m_informed = false;
 };
 
--- a/src/drain_confirmations.cpp
+++ b/src/drain_confirmations.cpp
@@ -4,8 +4,8 @@
 
 namespace Robinrail {
 
-DrainConfirmations::DrainConfirmations(const LossTolerance &borne, const ReplicaPlace &self)
-    : m_tolerance(borne)
+DrainConfirmations::DrainConfirmations(const LossTolerance &tolerance, const ReplicaPlace &self)
+    : m_tolerance(tolerance)
     , m_self{{self.replica, self.dataCentre}}
 {
 }
@@ -26,26 +26,26 @@
     if (m_tolerance.isMetBy(m_self)) {
         return respond(true);
     }
-    m_open.emplace(lifetime, Open{phase, m_self, now + DrainAnswerTimeout, std::move(respond)});
+    m_pending.emplace(lifetime, Pending{phase, m_self, now + DrainAnswerTimeout, std::move(respond)});
 }
 
 void DrainConfirmations::receipt(const ReplicaPlace &from, TargetLifetime lifetime, TargetPhase phase)
 {
-    const auto [first, last] = m_open.equal_range(lifetime);
+    const auto [first, last] = m_pending.equal_range(lifetime);
     for (auto at = first; at != last;) {
-        Open &open = at->second;
-        if (phase >= open.phase) {
-            open.witnesses[from.replica] = from.dataCentre;
+        Pending &pending = at->second;
+        if (phase >= pending.phase) {
+            pending.holders[from.replica] = from.dataCentre;
         }
-        if (!m_tolerance.isMetBy(open.witnesses)) {
+        if (!m_tolerance.isMetBy(pending.holders)) {
             ++at;
             continue;
         }
-        if (!confirmed(lifetime, open.phase)) {
-            m_confirmed[lifetime.key] = {lifetime, open.phase};
+        if (!confirmed(lifetime, pending.phase)) {
+            m_confirmed[lifetime.key] = {lifetime, pending.phase};
         }
-        const Respond respond = std::move(open.respond);
-        at = m_open.erase(at);
+        const Respond respond = std::move(pending.respond);
+        at = m_pending.erase(at);
         respond(true);
     }
 }
@@ -53,13 +53,13 @@
 std::size_t DrainConfirmations::expire(TimePoint now)
 {
     std::size_t expired = 0;
-    for (auto at = m_open.begin(); at != m_open.end();) {
+    for (auto at = m_pending.begin(); at != m_pending.end();) {
         if (now < at->second.deadline) {
             ++at;
             continue;
         }
         const Respond respond = std::move(at->second.respond);
-        at = m_open.erase(at);
+        at = m_pending.erase(at);
         ++expired;
         respond(false);
     }
--- a/src/drain_confirmations.h
+++ b/src/drain_confirmations.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Drain confirmations: a drain or an end is answered once so many other replicas know of it that the losses
-// which must be borne leave one that does.
+// Drain confirmations: a drain or departure is confirmed once so many replicas know of it that at least one of them remains
+// after any tolerated loss.
 #pragma once
 
 #include "loss_tolerance.h"
@@ -11,47 +11,47 @@
 
 namespace Robinrail {
 
-// A drain is answered once enough replicas know of it; not at all after this, so that the target asks
-// another replica. Targets wait for 1 s.
+// A drain that is not confirmed within this time gets no answer, so that the target turns to another replica. Targets wait
+// for 1 s.
 inline constexpr Duration DrainAnswerTimeout = std::chrono::milliseconds(850);
 
 class DrainConfirmations
 {
 public:
-    // Called once: whether enough replicas know.
+    // Called once with whether enough replicas know.
     using Respond = std::function<void(bool confirmed)>;
 
-    // Besides `self` so many others must know that any borne loss leaves one of them.
-    DrainConfirmations(const LossTolerance &borne, const ReplicaPlace &self);
+    // `self` counts as one of the replicas that know. A drain is confirmed once they satisfy `tolerance`.
+    DrainConfirmations(const LossTolerance &tolerance, const ReplicaPlace &self);
 
-    // Whether enough replicas knew of this phase of a lifetime at some time. A replica that loses its disk after that is told
-    // again when it links up, so the word holds.
+    // Whether enough replicas have known of this phase of a lifetime. This remains valid: a replica that loses its disk later
+    // is informed again when it connects.
     bool confirmed(TargetLifetime lifetime, TargetPhase phase) const;
 
-    // Its lifetimes are known no more.
+    // The target was removed from the directory.
     void forget(TargetKey key);
 
-    // Waits for receipts of this phase or a later one; responds at once if none are needed.
+    // Waits for receipts of this phase or a later one; responds immediately if none are needed.
     void await(TimePoint now, TargetLifetime lifetime, TargetPhase phase, Respond respond);
 
-    // Another replica knows that the target is in this phase.
+    // Another replica has confirmed that it knows of this phase.
     void receipt(const ReplicaPlace &from, TargetLifetime lifetime, TargetPhase phase);
 
-    // Gives up on those that waited too long; how many these were.
+    // Fails the drains that have timed out, and returns their number.
     std::size_t expire(TimePoint now);
 
 private:
-    struct Open {
+    struct Pending {
         TargetPhase phase = TargetPhase::Draining;
-        ReplicaLocations witnesses;
+        ReplicaLocations holders;
         TimePoint deadline;
         Respond respond;
     };
 
     LossTolerance m_tolerance;
     ReplicaLocations m_self;
-    std::multimap<TargetLifetime, Open> m_open;
-    std::map<TargetKey, TargetReceipt> m_confirmed; // The latest of each target.
+    std::multimap<TargetLifetime, Pending> m_pending;
+    std::map<TargetKey, TargetReceipt> m_confirmed; // The latest confirmed phase of each target.
 };
 
 } // namespace Robinrail
--- a/src/heard_targets.cpp
+++ b/src/heard_targets.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Heard targets: implementation.
+// Target leases: implementation.
 #include "heard_targets.h"
 
 #include <algorithm>
@@ -7,64 +7,64 @@
 
 namespace Robinrail {
 
-LocalTargetLeases::LocalTargetLeases(Duration lease)
-    : m_lease(lease)
+LocalTargetLeases::LocalTargetLeases(Duration duration)
+    : m_duration(duration)
 {
 }
 
-void LocalTargetLeases::heard(TimePoint now, TargetKey key)
+void LocalTargetLeases::renew(TimePoint now, TargetKey key)
 {
-    m_heard[key].at = now;
+    m_leases[key].renewedAt = now;
 }
 
-TargetLeaseUpdate LocalTargetLeases::changes(TimePoint now)
+TargetLeaseUpdate LocalTargetLeases::takeChanges(TimePoint now)
 {
-    TargetLeaseUpdate beat;
-    for (auto at = m_heard.begin(); at != m_heard.end();) {
-        auto &[key, heard] = *at;
-        const Duration age = now - heard.at;
-        if (age >= m_lease) {
-            if (heard.told) {
-                beat.missed.push_back({key, age});
+    TargetLeaseUpdate update;
+    for (auto at = m_leases.begin(); at != m_leases.end();) {
+        auto &[key, lease] = *at;
+        const Duration age = now - lease.renewedAt;
+        if (age >= m_duration) {
+            if (lease.sent) {
+                update.expired.push_back({key, age});
             }
-            at = m_heard.erase(at);
+            at = m_leases.erase(at);
             continue;
         }
-        if (!std::exchange(heard.told, true)) {
-            beat.heard.push_back(key);
+        if (!std::exchange(lease.sent, true)) {
+            update.added.push_back(key);
         }
         ++at;
     }
-    return beat;
+    return update;
 }
 
-TargetLeaseUpdate LocalTargetLeases::whole() const
+TargetLeaseUpdate LocalTargetLeases::snapshot() const
 {
-    TargetLeaseUpdate beat;
-    for (const auto &[key, heard] : m_heard) {
-        if (heard.told) {
-            beat.heard.push_back(key);
+    TargetLeaseUpdate update;
+    for (const auto &[key, lease] : m_leases) {
+        if (lease.sent) {
+            update.added.push_back(key);
         }
     }
-    return beat;
+    return update;
 }
 
 bool LocalTargetLeases::holdsLease(TargetKey key) const
 {
-    return m_heard.contains(key);
+    return m_leases.contains(key);
 }
 
-std::span<const TargetKey> PeerTargetLeases::take(std::uint64_t link, const TargetLeaseUpdate &beat)
+std::span<const TargetKey> PeerTargetLeases::apply(std::uint64_t link, const TargetLeaseUpdate &update)
 {
     std::vector<TargetKey> &keys = m_links[link];
-    for (const ExpiredLease &missed : beat.missed) {
-        const auto at = std::lower_bound(keys.begin(), keys.end(), missed.key);
-        if (at != keys.end() && *at == missed.key) {
+    for (const ExpiredLease &lease : update.expired) {
+        const auto at = std::lower_bound(keys.begin(), keys.end(), lease.key);
+        if (at != keys.end() && *at == lease.key) {
             keys.erase(at);
         }
     }
-    if (!beat.heard.empty()) {
-        keys.insert(keys.end(), beat.heard.begin(), beat.heard.end());
+    if (!update.added.empty()) {
+        keys.insert(keys.end(), update.added.begin(), update.added.end());
         std::sort(keys.begin(), keys.end());
         keys.erase(std::unique(keys.begin(), keys.end()), keys.end());
     }
--- a/src/heard_targets.h
+++ b/src/heard_targets.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Heard targets: which targets a replica hears, as it tells the other replicas, and what it is told by them.
+// Target leases: a replica grants leases on the liveness of the targets that announce themselves to it, and shares these
+// leases with the other replicas.
 //
-// The pattern that it answers: a target announces itself at one replica and must not count as silent at the others. To tell
-// them each time grows with targets x replicas whether or not anything happens. A replica therefore vouches for
-// those that it hears: it tells who came and who was missed, and a beat renews its word on all the others. Its own silence
-// ends that word, as with any lease.
+// A target announces itself at one replica and must not count as silent at the others. Forwarding every announcement would
+// cost targets x replicas messages even when nothing changes. A replica therefore sends only which leases were added and
+// which expired; its periodic heartbeat renews all the others. If the replica itself goes silent, its leases lapse.
 #pragma once
 
 #include "target_record.h"
@@ -15,7 +15,7 @@
 
 namespace Robinrail {
 
-// A target that is vouched for no more, and when it was heard last.
+// A lease that expired, and the time since the target's last announcement.
 struct ExpiredLease {
     TargetKey key{};
     Duration age{};
@@ -26,56 +26,57 @@
     }
 };
 
-// A beat: the sender still hears all targets that it named on this link, but for those missed. The first beat on a link
-// names all.
+// A heartbeat: renews the leases on all targets that the sender has added on this link, except for those that expired. The
+// first heartbeat on a link adds all leases of the sender.
 struct TargetLeaseUpdate {
-    std::vector<TargetKey> heard;
-    std::vector<ExpiredLease> missed;
+    std::vector<TargetKey> added;
+    std::vector<ExpiredLease> expired;
 
     auto fields()
     {
-        return std::tie(heard, missed);
+        return std::tie(added, expired);
     }
 };
 
-// The targets that this replica hears.
+// The leases on targets that announce themselves to this replica.
 class LocalTargetLeases
 {
 public:
-    // A target is vouched for until it was not heard for `lease`.
-    explicit LocalTargetLeases(Duration lease);
+    // A lease expires when the target has not announced itself for `duration`.
+    explicit LocalTargetLeases(Duration duration);
 
-    void heard(TimePoint now, TargetKey key);
+    // The target announced itself.
+    void renew(TimePoint now, TargetKey key);
 
-    // What the others don't know yet: who came and who was missed since the last call.
-    TargetLeaseUpdate changes(TimePoint now);
+    // The leases that were added and that expired since the last call.
+    TargetLeaseUpdate takeChanges(TimePoint now);
 
-    // All that were vouched for at the last call of changes(), for a link on which nothing was told.
-    TargetLeaseUpdate whole() const;
+    // All leases that takeChanges() has returned and that are still held, for the first heartbeat on a link.
+    TargetLeaseUpdate snapshot() const;
 
     bool holdsLease(TargetKey key) const;
 
 private:
-    struct Heard {
-        TimePoint at;
-        bool told = false;
+    struct Lease {
+        TimePoint renewedAt;
+        bool sent = false; // Returned by takeChanges().
     };
 
-    Duration m_lease;
-    std::map<TargetKey, Heard> m_heard;
+    Duration m_duration;
+    std::map<TargetKey, Lease> m_leases;
 };
 
-// The targets that other replicas hear, by the links on which they say so.
+// The leases held by other replicas, by the link on which they were received.
 class PeerTargetLeases
 {
 public:
-    // Takes a beat; all targets that the sender vouches for with it.
-    std::span<const TargetKey> take(std::uint64_t link, const TargetLeaseUpdate &beat);
+    // Applies a heartbeat. Returns all targets on which the sender now holds a lease, sorted.
+    std::span<const TargetKey> apply(std::uint64_t link, const TargetLeaseUpdate &update);
 
-    // The link is gone, and the word that was given on it.
+    // The link was lost; the leases received on it lapse.
     void closed(std::uint64_t link);
 
-    // Whether any of them vouches for a target.
+    // Whether any of these replicas holds a lease on the target.
     bool holdsLease(TargetKey key) const;
 
 private:
--- a/src/loss_tolerance.h
+++ b/src/loss_tolerance.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Loss tolerance: which losses at once a promise must outlive, and whether its witnesses do.
+// Loss tolerance: the simultaneous losses that information must survive, and whether the replicas that hold it suffice.
 //
-// Where each data centre has one replica, a loss of so many replicas covers that of a data centre. With several in each,
-// the first answers all come from the nearest ones, which are lost together.
+// With one replica in each data centre, tolerating the loss of a number of replicas includes the loss of a data centre.
+// With several, the first acknowledgements all come from nearby replicas in the same data centre, which fail together.
 #pragma once
 
 #include "node_message.h"
@@ -12,21 +12,21 @@
 
 namespace Robinrail {
 
-// The replicas that know of something, by where they are.
+// The replicas that hold a piece of information, each with its data centre.
 using ReplicaLocations = std::map<ReplicaId, DataCentreId>;
 
 struct LossTolerance {
-    std::size_t replicas = 0; // So many replicas may be lost at once, with their disks,
-    std::size_t dataCentres = 0; // or all replicas of so many data centres.
+    std::size_t replicas = 0; // Number of replicas that may be lost at the same time, including their disks,
+    std::size_t dataCentres = 0; // or number of data centres of which all replicas may be lost.
 
-    // Whether any such loss leaves one of the witnesses.
-    bool isMetBy(const ReplicaLocations &witnesses) const
+    // Whether at least one of the holders remains after any such loss.
+    bool isMetBy(const ReplicaLocations &holders) const
     {
-        std::set<DataCentreId> places;
-        for (const auto &[replica, dataCentre] : witnesses) {
-            places.insert(dataCentre);
+        std::set<DataCentreId> dataCentresHeld;
+        for (const auto &[replica, dataCentre] : holders) {
+            dataCentresHeld.insert(dataCentre);
         }
-        return witnesses.size() > replicas && places.size() > dataCentres;
+        return holders.size() > replicas && dataCentresHeld.size() > dataCentres;
     }
 };
 
--- a/src/news_batch.h
+++ b/src/news_batch.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// News batch: targets that changed here, until the other replicas are told.
+// Change batch: collects the targets that changed at this replica until they are sent to the other replicas.
 //
-// The pattern that it answers: a release changes thousands of targets within seconds, and each change told to each other
-// replica by a message of its own costs changes x replicas of them. The first change after a pause is told at once; what
-// follows within ReplicaUpdateInterval shares one message, however much it is.
+// A release changes thousands of targets within seconds. With one message for each change and replica, the number of
+// messages would be changes x replicas. The first change after a pause is therefore sent immediately, and all changes
+// within the ReplicaUpdateInterval that follows are sent together.
 #pragma once
 
 #include "target_record.h"
@@ -13,33 +13,33 @@
 
 namespace Robinrail {
 
-// The other replicas are told of changes this often at most. A drain waits for it at worst; callers notice nothing, as
-// a draining target serves on for seconds.
+// Minimum time between two batches to the other replicas. It may delay the confirmation of a drain, which callers do not
+// notice because a draining target continues to serve for seconds.
 inline constexpr Duration ReplicaUpdateInterval = std::chrono::milliseconds(25);
 
 class ChangeBatch
 {
 public:
-    // The others must hear of this target; twice is once.
+    // Marks a target as changed. Adding it again before it was sent has no effect.
     void add(TargetKey key)
     {
-        m_waiting.insert(key);
+        m_pending.insert(key);
     }
 
-    // The targets to tell of now; none while the last ones were told a moment ago.
+    // Removes and returns the targets to send now; empty until ReplicaUpdateInterval has passed since the last batch.
     std::vector<TargetKey> take(TimePoint now)
     {
-        if (m_waiting.empty() || now < m_due) {
+        if (m_pending.empty() || now < m_due) {
             return {};
         }
         m_due = now + ReplicaUpdateInterval;
-        std::vector<TargetKey> keys(m_waiting.begin(), m_waiting.end());
-        m_waiting.clear();
+        std::vector<TargetKey> keys(m_pending.begin(), m_pending.end());
+        m_pending.clear();
         return keys;
     }
 
 private:
-    std::set<TargetKey> m_waiting;
+    std::set<TargetKey> m_pending;
     TimePoint m_due;
 };
 
--- a/src/prober_choice.h
+++ b/src/prober_choice.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Prober choice: which replicas probe a target that balancers report.
+// Prober choice: selects the replicas that probe a target reported by balancers.
 //
-// The pattern that it answers: several replicas must agree that a target is gone, and if each of them probes each reported
-// target, probes grow with replicas x silent targets, when 14% of a fleet loses power at once. Rendezvous hashing
-// (Thaler and Ravishankar 1998) names the same few for a target everywhere, and others only where those are not reached.
+// Several replicas must agree that a target is gone. If all of them probed each reported target, the number of probes would
+// be replicas x silent targets, just when a large part of the fleet, such as 14%, loses power at once. Rendezvous hashing
+// (Thaler and Ravishankar 1998) selects the same few replicas for a target everywhere, and others only where some of those
+// can't be reached.
 #pragma once
 
 #include "hash.h"
@@ -16,8 +17,8 @@
 
 namespace Robinrail {
 
-// The replicas that probe a target: `count` of those that can be reached, of different data centres as far as there are
-// any, since those of one are cut off together.
+// The replicas that probe a target: `count` of the reachable ones, in different data centres as far as possible, because
+// the replicas of one data centre lose their connectivity together.
 inline std::vector<ReplicaId> chooseProbers(TargetKey target, std::span<const ReplicaPlace> reachable, std::size_t count)
 {
     std::vector<ReplicaPlace> ranked(reachable.begin(), reachable.end());
@@ -27,18 +28,18 @@
         };
         return rank(one) > rank(other);
     });
-    std::map<DataCentreId, std::size_t> taken;
-    std::vector<std::pair<std::size_t, ReplicaId>> rounds; // In which round through the data centres it has its turn.
-    rounds.reserve(ranked.size());
+    std::map<DataCentreId, std::size_t> rankInDataCentre;
+    std::vector<std::pair<std::size_t, ReplicaId>> byRank; // Rank within its own data centre, replica.
+    byRank.reserve(ranked.size());
     for (const ReplicaPlace &place : ranked) {
-        rounds.emplace_back(taken[place.dataCentre]++, place.replica);
+        byRank.emplace_back(rankInDataCentre[place.dataCentre]++, place.replica);
     }
-    std::stable_sort(rounds.begin(), rounds.end(), [](const auto &one, const auto &other) {
+    std::stable_sort(byRank.begin(), byRank.end(), [](const auto &one, const auto &other) {
         return one.first < other.first;
     });
     std::vector<ReplicaId> chosen;
-    for (std::size_t i = 0; i < std::min(count, rounds.size()); ++i) {
-        chosen.push_back(rounds[i].second);
+    for (std::size_t i = 0; i < std::min(count, byRank.size()); ++i) {
+        chosen.push_back(byRank[i].second);
     }
     return chosen;
 }
--- a/src/target_directory.cpp
+++ b/src/target_directory.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Announcements that are counted to tell the age of a lifetime: a day of those each second. A sequence number is what
-// a target says, and must not take a time beyond what a clock can hold.
+// Upper limit of the announcements that are counted to estimate the age of a lifetime: one per second for a day. The
+// sequence number comes from the target, and must not cause an overflow of the time.
 constexpr std::uint64_t MaxCountedIntervals = 86'400;
 
 } // namespace
@@ -24,26 +24,27 @@
 
 std::vector<TargetStatus> TargetDirectory::announce(TimePoint now, const TargetRecord &record)
 {
-    std::vector<TargetStatus> news;
+    std::vector<TargetStatus> changes;
     const TargetRecord *known = find(record.key);
     if (known != nullptr && record.born < known->born) {
-        return news; // Held up on its way: its lifetime was ended by the one that is held.
+        return changes; // Delayed announcement of a lifetime that a later one has replaced.
     }
     m_announcedHere.push_back(record.key);
     if (known == nullptr || known->phase != TargetPhase::Left || record.born > known->born) {
-        news = endOlderLifetimes(now, record);
+        changes = endOlderLifetimes(now, record);
     }
     if (std::optional<TargetStatus> own = take(now, {record, false, Duration{0}})) {
-        news.push_back(std::move(*own));
+        changes.push_back(std::move(*own));
     }
-    return news;
+    return changes;
 }
 
-// An address passes on only after its target has ended, so of two lifetimes there the older one is over. Which one
-// that is can't be told from the order in which they are heard here: an announcement that was held up on its way may
-// come after its sender's end and its successor's first one. Hence a lifetime ends only those that were heard of before
-// it. A wrong end would be for good and reset live flows, so they must have missed their turn as well. A target that
-// restarts at once is there before that; this is therefore asked at each announcement and not only at the first.
+// An address is reused only after its target has ended, so of two lifetimes at one address the older one is over. The order
+// in which their announcements arrive here does not tell which one that is: a delayed announcement may arrive after its
+// sender's end and after the first one of its successor. A lifetime therefore ends only those that were first heard before
+// it. Ending the wrong one would be irreversible and reset live flows, so the older one must also be overdue. A target that
+// restarts immediately announces itself before its former lifetime is overdue; the check is therefore made at each
+// announcement and not only at the first.
 std::vector<TargetStatus> TargetDirectory::endOlderLifetimes(TimePoint now, const TargetRecord &record)
 {
     std::vector<TargetStatus> ended;
@@ -54,8 +55,8 @@
         const bool older = at->second != record.key && entry.firstHeard < since && entry.record.phase != TargetPhase::Left;
         if (older && isOverdue(now, entry)) {
             entry.record.phase = TargetPhase::Left;
-            entry.heard = now;
-            ended.push_back(newsOf(entry, now));
+            entry.lastHeard = now;
+            ended.push_back(statusOf(entry, now));
         }
     }
     return ended;
@@ -63,7 +64,7 @@
 
 bool TargetDirectory::isOverdue(TimePoint now, const Entry &entry) const
 {
-    return now - entry.heard >= m_silenceLimit / 2;
+    return now - entry.lastHeard >= m_silenceLimit / 2;
 }
 
 bool TargetDirectory::isOverdue(TimePoint now, TargetKey key) const
@@ -72,8 +73,9 @@
     return found != m_entries.end() && isOverdue(now, found->second);
 }
 
-// Since when a lifetime is known. Of one that is new here its announcements tell: one for each interval. That is the
-// longest that it can have lived, as calls that failed count, too; an unknown one is rather taken for the older.
+// When a lifetime was first heard. For a lifetime that is new here this is estimated from its sequence number, at one
+// announcement per interval. The estimate is an upper limit of its age, because failed calls count as well: an unknown
+// lifetime is rather taken for the older one.
 TimePoint TargetDirectory::firstHeard(TimePoint now, const TargetRecord &record) const
 {
     const auto found = m_entries.find(record.key);
@@ -84,51 +86,51 @@
     return now - m_announceInterval * static_cast<std::int64_t>(std::min(before, MaxCountedIntervals));
 }
 
-std::optional<TargetStatus> TargetDirectory::take(TimePoint now, const TargetStatus &news)
+std::optional<TargetStatus> TargetDirectory::take(TimePoint now, const TargetStatus &status)
 {
-    const auto found = m_entries.find(news.record.key);
+    const auto found = m_entries.find(status.record.key);
     if (found == m_entries.end()) {
         if (m_entries.size() >= MaxDirectoryTargets) {
             return std::nullopt;
         }
-        const TimePoint since = std::min(firstHeard(now - news.age, news.record), now - news.known);
-        const Entry &entry = m_entries[news.record.key] = {news.record, now - news.age, since, news.silent};
-        m_addresses.emplace(news.record.address, news.record.key);
-        return newsOf(entry, now);
+        const TimePoint since = std::min(firstHeard(now - status.age, status.record), now - status.known);
+        const Entry &entry = m_entries[status.record.key] = {status.record, now - status.age, since, status.silent};
+        m_addresses.emplace(status.record.address, status.record.key);
+        return statusOf(entry, now);
     }
     Entry &entry = found->second;
-    if (news.record.born != entry.record.born) {
-        return news.record.supersedes(entry.record) ? std::optional(beginLifetime(now, entry, news)) : std::nullopt;
+    if (status.record.born != entry.record.born) {
+        return status.record.supersedes(entry.record) ? std::optional(beginLifetime(now, entry, status)) : std::nullopt;
     }
-    const bool cooled = restartsWarmup(news, entry, now);
-    entry.heard = std::max(entry.heard, now - news.age);
-    entry.firstHeard = std::min(entry.firstHeard, now - news.known);
-    const bool wasSilent = std::exchange(entry.silent, entry.silent && now - entry.heard >= m_silenceLimit);
-    if (!news.record.supersedes(entry.record)) {
-        return wasSilent && !entry.silent ? std::optional(newsOf(entry, now)) : std::nullopt;
+    const bool warmsUpAgain = restartsWarmup(status, entry, now);
+    entry.lastHeard = std::max(entry.lastHeard, now - status.age);
+    entry.firstHeard = std::min(entry.firstHeard, now - status.known);
+    const bool wasSilent = std::exchange(entry.silent, entry.silent && now - entry.lastHeard >= m_silenceLimit);
+    if (!status.record.supersedes(entry.record)) {
+        return wasSilent && !entry.silent ? std::optional(statusOf(entry, now)) : std::nullopt;
     }
-    const bool changed = news.record.differs(entry.record) || wasSilent || cooled;
-    setRecord(entry, news.record);
-    return changed ? std::optional(newsOf(entry, now)) : std::nullopt;
+    const bool changed = status.record.differs(entry.record) || wasSilent || warmsUpAgain;
+    setRecord(entry, status.record);
+    return changed ? std::optional(statusOf(entry, now)) : std::nullopt;
 }
 
-// A target started again under its key. Nothing that was heard of its former lifetime holds for this one.
-TargetStatus TargetDirectory::beginLifetime(TimePoint now, Entry &entry, const TargetStatus &news)
+// The target restarted under the same key. No state of its former lifetime applies to the new one.
+TargetStatus TargetDirectory::beginLifetime(TimePoint now, Entry &entry, const TargetStatus &status)
 {
-    entry.firstHeard = std::min(firstHeard(now - news.age, news.record), now - news.known);
-    entry.heard = now - news.age;
-    entry.silent = news.silent;
-    setRecord(entry, news.record);
-    return newsOf(entry, now);
+    entry.firstHeard = std::min(firstHeard(now - status.age, status.record), now - status.known);
+    entry.lastHeard = now - status.age;
+    entry.silent = status.silent;
+    setRecord(entry, status.record);
+    return statusOf(entry, now);
 }
 
-// Whether a target has begun to warm up anew without a restart, as after it rested: balancers, which count the time that
-// they were told down, must hear of it.
-bool TargetDirectory::restartsWarmup(const TargetStatus &news, const Entry &entry, TimePoint now)
+// Whether a target has started another warm-up without a restart, for example after an idle period. Balancers count down the
+// time that they were given, so they must be informed.
+bool TargetDirectory::restartsWarmup(const TargetStatus &status, const Entry &entry, TimePoint now)
 {
-    const TimePoint warm = now - news.age + news.record.warmupLeft;
-    const TimePoint known = entry.heard + entry.record.warmupLeft;
-    return news.record.warmupLeft > Duration{0} && warm - known >= WarmupSlack;
+    const TimePoint warm = now - status.age + status.record.warmupLeft;
+    const TimePoint known = entry.lastHeard + entry.record.warmupLeft;
+    return status.record.warmupLeft > Duration{0} && warm - known >= WarmupSlack;
 }
 
 void TargetDirectory::setRecord(Entry &entry, const TargetRecord &record)
@@ -157,54 +159,54 @@
         return std::nullopt;
     }
     found->second.record.phase = TargetPhase::Left;
-    found->second.heard = now;
-    return newsOf(found->second, now);
+    found->second.lastHeard = now;
+    return statusOf(found->second, now);
 }
 
-std::vector<TargetStatus> TargetDirectory::heard(TimePoint now, std::span<const TargetKey> keys)
+std::vector<TargetStatus> TargetDirectory::renew(TimePoint now, std::span<const TargetKey> keys)
 {
-    std::vector<TargetStatus> back;
+    std::vector<TargetStatus> returned;
     for (const TargetKey key : keys) {
         const auto found = m_entries.find(key);
         if (found == m_entries.end()) {
             continue;
         }
-        found->second.heard = now;
+        found->second.lastHeard = now;
         if (std::exchange(found->second.silent, false)) {
-            back.push_back(newsOf(found->second, now));
+            returned.push_back(statusOf(found->second, now));
         }
     }
-    return back;
+    return returned;
 }
 
-void TargetDirectory::missed(TimePoint now, const ExpiredLease &target)
+void TargetDirectory::leaseExpired(TimePoint now, const ExpiredLease &lease)
 {
-    const auto found = m_entries.find(target.key);
+    const auto found = m_entries.find(lease.key);
     if (found != m_entries.end() && found->second.record.phase != TargetPhase::Left) {
-        found->second.heard = std::min(found->second.heard, now - target.age);
+        found->second.lastHeard = std::min(found->second.lastHeard, now - lease.age);
     }
 }
 
 std::vector<TargetStatus> TargetDirectory::tick(TimePoint now)
 {
-    std::vector<TargetStatus> fallen;
+    std::vector<TargetStatus> silent;
     for (auto &[key, entry] : m_entries) {
         const bool left = entry.record.phase == TargetPhase::Left;
-        if (!left && !entry.silent && now - entry.heard >= m_silenceLimit) {
+        if (!left && !entry.silent && now - entry.lastHeard >= m_silenceLimit) {
             entry.silent = true;
-            fallen.push_back(newsOf(entry, now));
+            silent.push_back(statusOf(entry, now));
         }
     }
     std::erase_if(m_entries, [this, now](const auto &each) {
         const bool left = each.second.record.phase == TargetPhase::Left;
-        if (now - each.second.heard < (left ? LeftTargetRetention : SilentTargetRetention)) {
+        if (now - each.second.lastHeard < (left ? LeftTargetRetention : SilentTargetRetention)) {
             return false;
         }
         unindex(each.second.record);
         m_forgotten.push_back(each.first);
         return true;
     });
-    return fallen;
+    return silent;
 }
 
 std::vector<TargetKey> TargetDirectory::takeAnnouncedHere()
@@ -217,7 +219,7 @@
     return std::exchange(m_forgotten, {});
 }
 
-// Sums, as they do not depend on the order of the targets.
+// The hashes are summed, so that the result does not depend on the order of the targets.
 std::vector<std::uint32_t> TargetDirectory::digest(std::size_t buckets) const
 {
     std::vector<std::uint32_t> sums(buckets);
@@ -245,7 +247,7 @@
 std::optional<TargetStatus> TargetDirectory::status(TimePoint now, TargetKey key) const
 {
     const auto found = m_entries.find(key);
-    return found != m_entries.end() ? std::optional(newsOf(found->second, now)) : std::nullopt;
+    return found != m_entries.end() ? std::optional(statusOf(found->second, now)) : std::nullopt;
 }
 
 std::vector<TargetStatus> TargetDirectory::all(TimePoint now) const
@@ -253,7 +255,7 @@
     std::vector<TargetStatus> list;
     list.reserve(m_entries.size());
     for (const auto &[key, entry] : m_entries) {
-        list.push_back(newsOf(entry, now));
+        list.push_back(statusOf(entry, now));
     }
     return list;
 }
@@ -269,11 +271,11 @@
     return m_entries.size();
 }
 
-TargetStatus TargetDirectory::newsOf(const Entry &entry, TimePoint now) const
+TargetStatus TargetDirectory::statusOf(const Entry &entry, TimePoint now) const
 {
-    TargetStatus news{entry.record, entry.silent, now - entry.heard, now - entry.firstHeard};
-    news.record.warmupLeft = std::max(Duration{0}, entry.record.warmupLeft - news.age);
-    return news;
+    TargetStatus status{entry.record, entry.silent, now - entry.lastHeard, now - entry.firstHeard};
+    status.record.warmupLeft = std::max(Duration{0}, entry.record.warmupLeft - status.age);
+    return status;
 }
 
 } // namespace Robinrail
--- a/src/target_directory.h
+++ b/src/target_directory.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Target directory: a replica's soft state of all targets. Announcements reach one replica, which passes
-// changes on to all others and to every balancer; sequence and lifetime order them, no log is needed.
+// Target directory: a replica's soft state about all targets. An announcement reaches one replica, which forwards changes to
+// all other replicas and to the balancers that follow it. Changes are ordered by lifetime and sequence number, so that no
+// replicated log is needed.
 #pragma once
 
 #include "directory_digest.h"
@@ -14,57 +15,58 @@
 
 namespace Robinrail {
 
-// A target that left is remembered this long, so that its flows' packets are still told from unknown ones
-// and no late announcement revives it. The longest life of a flow, 60 s, and some slack.
+// How long a target that left is kept, so that packets of its flows are still recognised and no delayed announcement
+// revives it: the maximum lifetime of a flow, 60 s, plus a margin.
 inline constexpr Duration LeftTargetRetention = std::chrono::seconds(75);
 
-// A target that nobody heard for this long is forgotten.
+// A target that has not announced itself to any replica for this long is removed.
 inline constexpr Duration SilentTargetRetention = std::chrono::seconds(120);
 
-// A warm-up that ends later than the known one by less is the same one, heard of with another delay. A quarter of the
-// shortest warm-up that targets have, 2 s.
+// Two warm-ups whose ends differ by less are the same one, announced with different delays. A quarter of the shortest
+// warm-up of a target, 2 s.
 inline constexpr Duration WarmupSlack = std::chrono::milliseconds(500);
 
-// Most targets that are kept; an announcement beyond that is refused.
+// Maximum number of targets; announcements of further ones are rejected.
 inline constexpr std::size_t MaxDirectoryTargets = 100'000;
 
 class TargetDirectory
 {
 public:
-    // Targets announce themselves once in `announceInterval`, and count as silent after `silenceLimit` without an
+    // Targets announce themselves once per `announceInterval` and count as silent after `silenceLimit` without an
     // announcement at any replica.
     TargetDirectory(Duration announceInterval, Duration silenceLimit);
 
-    // Takes what a target announced here. Returns the news to pass on: the target's own, and the end of
-    // older ones that were at its address and missed their turn.
+    // Applies an announcement that was received here. Returns the changes to forward: that of the target itself, and the end
+    // of older, overdue lifetimes at its address.
     std::vector<TargetStatus> announce(TimePoint now, const TargetRecord &record);
 
-    // Takes another replica's news. Returns the news to pass on to balancers, if any.
-    std::optional<TargetStatus> take(TimePoint now, const TargetStatus &news);
+    // Applies a status received from another replica. Returns the change to forward to balancers, if any.
+    std::optional<TargetStatus> take(TimePoint now, const TargetStatus &status);
 
-    // Ends a lifetime, or whichever is held if `born` is 0; the news to pass on, if it is known and not over by a later one.
+    // Ends a lifetime, or the current one if `born` is 0. Returns the change to forward; empty if the lifetime is unknown or
+    // was replaced by a later one.
     std::optional<TargetStatus> leave(TimePoint now, TargetKey key, std::uint64_t born = 0);
 
-    // Another replica heard these targets just now. Returns targets that are silent no longer.
-    std::vector<TargetStatus> heard(TimePoint now, std::span<const TargetKey> keys);
+    // Another replica holds leases on these targets now. Returns the targets that are no longer silent.
+    std::vector<TargetStatus> renew(TimePoint now, std::span<const TargetKey> keys);
 
-    // A target that was taken for heard was heard last so long ago.
-    void missed(TimePoint now, const ExpiredLease &target);
+    // The lease on a target expired: its last announcement was earlier than assumed while the lease was held.
+    void leaseExpired(TimePoint now, const ExpiredLease &lease);
 
-    // Finds targets that fell silent, and forgets old ones.
+    // Returns targets that have gone silent, and removes old ones.
     std::vector<TargetStatus> tick(TimePoint now);
 
-    // Whether a target that is held has not announced itself anywhere for half of the time after which it counts as silent:
-    // longer than between two announcements, and than word of them takes from another replica.
+    // Whether a known target has not announced itself anywhere for half of the silence limit. This is longer than the interval
+    // between two announcements plus the delay with which another replica reports them.
     bool isOverdue(TimePoint now, TargetKey key) const;
 
     // The targets that announced themselves here since the last call.
     std::vector<TargetKey> takeAnnouncedHere();
 
-    // The targets that were forgotten since the last call.
+    // The targets that were removed since the last call.
     std::vector<TargetKey> takeForgotten();
 
-    // Hashes of all parts of the directory, so many in all; and the targets of those that are asked for.
+    // Hashes of all buckets of the directory, and the targets in the buckets that are queried.
     std::vector<std::uint32_t> digest(std::size_t buckets) const;
     std::vector<TargetKey> keysIn(const DirectoryQuery &query) const;
 
@@ -76,18 +78,18 @@
 private:
     struct Entry {
         TargetRecord record;
-        TimePoint heard;
+        TimePoint lastHeard;
         TimePoint firstHeard; // By any replica.
         bool silent = false;
     };
     bool isOverdue(TimePoint now, const Entry &entry) const;
     std::vector<TargetStatus> endOlderLifetimes(TimePoint now, const TargetRecord &record);
     TimePoint firstHeard(TimePoint now, const TargetRecord &record) const;
-    TargetStatus beginLifetime(TimePoint now, Entry &entry, const TargetStatus &news);
-    static bool restartsWarmup(const TargetStatus &news, const Entry &entry, TimePoint now);
+    TargetStatus beginLifetime(TimePoint now, Entry &entry, const TargetStatus &status);
+    static bool restartsWarmup(const TargetStatus &status, const Entry &entry, TimePoint now);
     void setRecord(Entry &entry, const TargetRecord &record);
     void unindex(const TargetRecord &record);
-    TargetStatus newsOf(const Entry &entry, TimePoint now) const;
+    TargetStatus statusOf(const Entry &entry, TimePoint now) const;
 
     Duration m_announceInterval;
     Duration m_silenceLimit;
--- a/src/target_exchange.h
+++ b/src/target_exchange.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Target exchange: a replica's part in keeping the targets: takes their announcements, hands changes to the
-// other replicas and to the balancers, and confirms drains once enough replicas know.
+// Target exchange: the replica's side of the target directory: receives announcements, replicates changes to the other
+// replicas, publishes them to the balancers, and confirms drains once enough replicas know of them.
 #pragma once
 
 #include "directory_answers.h"
@@ -14,20 +14,21 @@
 
 namespace Robinrail {
 
-// A replica vouches for a target for this many intervals after it was heard: until the next announcement is half an
-// interval late.
+// A replica's lease on a target, in announce intervals after its last announcement: the next one may be half an interval
+// late.
 inline constexpr double LeaseInAnnounceIntervals = 1.5;
 
-// Announcements that a target may miss before it counts as silent, and some slack for one that is sent to
+// Announcements that a target may miss before it counts as silent, and additional time for one that is sent again to
 // another replica after a second without an answer.
 inline constexpr int MaxMissedAnnouncements = 2;
 inline constexpr Duration AnnouncementSlack = std::chrono::milliseconds(1200);
 
-// Followers are told of changes this often. Callers lose 200 ms at a target that has fallen silent and nothing at one that
-// drains, which serves for seconds more; at 150 changes a second a batch saves six messages of seven.
+// Interval at which changes are published to followers. The delay costs callers little: 200 ms at a target that has gone
+// silent, and nothing at one that drains, which serves for seconds more. At 150 changes per second, batches replace about
+// seven messages by one.
 inline constexpr Duration PublishInterval = std::chrono::milliseconds(50);
 
-// Links between replicas, and to the balancers that follow; NodeLinks are the real ones. Handles are never reused.
+// Links to other replicas and to following balancers; NodeLinks in production. Link identifiers are never reused.
 template<typename L>
 concept ExchangeLinks = PageLinks<L> && requires(L &links, ReplicaLinkId link, std::span<const ReplicaLinkId> several, const NodeMessage &message)
 {
@@ -45,17 +46,17 @@
 class BasicTargetExchange
 {
 public:
-    // Whether a call was taken: the target is known, and if it drains or left, no borne loss can undo that.
-    using Respond = std::function<void(bool taken)>;
+    // Whether a call was accepted: the target is known and, if it drains or has left, no tolerated loss can undo that.
+    using Respond = std::function<void(bool accepted)>;
 
-    // The exchange of the replica `self`. Targets announce themselves once in `announceInterval`.
-    BasicTargetExchange(Links &links, TimePoint now, const ReplicaPlace &self, Duration announceInterval, const LossTolerance &borne);
+    // The exchange of the replica `self`. Targets announce themselves once per `announceInterval`.
+    BasicTargetExchange(Links &links, TimePoint now, const ReplicaPlace &self, Duration announceInterval, const LossTolerance &tolerance);
 
-    // Calls of the targets.
+    // Calls from targets.
     void announce(TimePoint now, const TargetRecord &record, Respond respond);
     void leave(TimePoint now, TargetKey key, std::uint64_t born, Respond respond);
 
-    // A balancer's targets that do not answer; each that may still be there is passed on.
+    // A balancer reports targets that do not answer. Calls `probe` for each that is known and has not left.
     template<typename Probe>
     void onUnanswered(TimePoint now, const TargetsUnanswered &list, Probe probe) const
     {
@@ -67,41 +68,41 @@
         }
     }
 
-    // A balancer follows this replica's directory; its link is gone.
+    // A balancer subscribes to this replica's directory; its link was lost.
     void follow(TimePoint now, ReplicaLinkId link, const FollowDirectory &request);
     void unfollow(ReplicaLinkId link);
 
-    // Tells other replicas and followers what changed, if that is due. Call it at each tick.
+    // Sends pending changes to other replicas and followers when they are due. Call at each tick.
     void publish(TimePoint now);
 
-    // What another replica says over its link.
+    // Messages from other replicas.
     void onTargetStatuses(TimePoint now, ReplicaLinkId link, const TargetStatusList &list);
-    void onLeaseUpdate(TimePoint now, ReplicaLinkId link, const TargetLeaseUpdate &beat);
+    void onLeaseUpdate(TimePoint now, ReplicaLinkId link, const TargetLeaseUpdate &update);
     void onReceipts(TimePoint now, const ReplicaPlace &from, const TargetReceipts &list);
     void onCompare(TimePoint now, ReplicaLinkId link, const DirectoryCompare &compare);
     void onDigest(TimePoint now, ReplicaLinkId link, const DirectoryDigest &digest);
     void onQuery(TimePoint now, ReplicaLinkId link, const DirectoryQuery &query);
     void onAnswered(ReplicaLinkId link, const DirectoryQueryDone &answer);
 
-    // A link to another replica is gone.
+    // A link to another replica was lost.
     void closed(ReplicaLinkId link);
 
-    // Takes the targets that were known before a restart; they are heard as of now.
+    // Restores the targets that were known before a restart, as if they had announced themselves now.
     void restore(TimePoint now, std::span<const TargetStatus> targets);
 
-    // A link to another replica has come up: its directory is to be compared.
+    // A link to another replica was established: schedules a comparison with its directory.
     void linked(ReplicaId peer, ReplicaLinkId link);
 
-    // Asks and answers other replicas about parts that differ. Call it at each tick.
+    // Sends and answers queries about differing parts of the directories. Call at each tick.
     void reconcile(TimePoint now);
 
-    // Gives up on drains that waited too long. Call it at each tick.
+    // Fails drains whose confirmation timed out. Call at each tick.
     void expireDrains(TimePoint now);
 
-    // Tells the others whom this replica heard, and finds who fell silent. Call it once in a while.
+    // Sends lease changes to the other replicas, detects silent targets and removes old ones. Call periodically.
     void sendHeartbeat(TimePoint now);
 
-    // All targets; whether anything changed since the last call.
+    // All targets; whether any of them changed since the last call.
     std::vector<TargetStatus> all(TimePoint now) const;
     bool takeChanged();
 
@@ -110,17 +111,17 @@
     std::uint64_t announcements() const;
     std::uint64_t drainsUnanswered() const;
 
-    // From a drain or an end to its confirmation.
+    // Time from the request for a drain or departure to its confirmation.
     const LatencyHistogram &drainTimes() const;
 
 private:
-    void spread(TimePoint now, const TargetStatus &news);
+    void propagate(TimePoint now, const TargetStatus &status);
     void notifyReplicas(TimePoint now);
     void notifyFollowers(std::span<const TargetStatus> changed);
-    void confirm(TimePoint now, const TargetRecord &record, Respond respond);
+    void confirmDrain(TimePoint now, const TargetRecord &record, Respond respond);
     bool informed(TimePoint now) const;
-    void logSilent(TimePoint now, const TargetStatus &news);
-    void askNext(TimePoint now);
+    void logSilent(TimePoint now, const TargetStatus &status);
+    void sendNextCompare(TimePoint now);
     void logMalformed(TimePoint now, std::string_view message);
 
     Links &m_links;
@@ -128,17 +129,17 @@
     TargetDirectory m_directory;
     DirectoryPublisher m_publisher;
     TimePoint m_publishDue;
-    ChangeBatch m_news; // For the other replicas.
-    LocalTargetLeases m_heard;
+    ChangeBatch m_changeBatch; // For the other replicas.
+    LocalTargetLeases m_localLeases;
     PeerTargetLeases m_peerLeases;
     DirectoryReconciler m_reconciler;
-    DirectoryResponder m_answers;
+    DirectoryResponder m_responder;
     DrainConfirmations m_drains;
     TimePoint m_started;
-    TimePoint m_receiptsAt; // When the receipts came that are being taken.
-    bool m_restored = false; // Targets were known from before the restart.
+    TimePoint m_receiptsAt; // Arrival time of the receipts that are being processed.
+    bool m_restored = false; // Targets were restored from before a restart.
     bool m_changed = false;
-    LogBudget m_newsLog;
+    LogBudget m_changeLog;
     LogBudget m_silentLog;
     LogBudget m_malformedLog;
     std::uint64_t m_announcements = 0;
--- a/src/target_exchange_detail.h
+++ b/src/target_exchange_detail.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Target exchange: the definitions, for those who bring links of their own.
+// Target exchange: template definitions, for use with other link types.
 #pragma once
 
 #include "target_exchange.h"
@@ -15,8 +15,8 @@
 
 namespace detail {
 
-// Any number but 0, that no other process has.
-inline std::uint64_t newLife()
+// A random identifier, not 0, for one run of the directory log.
+inline std::uint64_t randomLogLife()
 {
     std::random_device random;
     return (std::uint64_t{random()} << 32U | random()) | 1U;
@@ -25,15 +25,16 @@
 } // namespace detail
 
 template<ExchangeLinks Links>
-BasicTargetExchange<Links>::BasicTargetExchange(Links &links, TimePoint now, const ReplicaPlace &self, Duration announceInterval, const LossTolerance &borne)
+BasicTargetExchange<Links>::BasicTargetExchange(
+    Links &links, TimePoint now, const ReplicaPlace &self, Duration announceInterval, const LossTolerance &tolerance)
     : m_links(links)
     , m_announceInterval(announceInterval)
     , m_directory(announceInterval, announceInterval * MaxMissedAnnouncements + AnnouncementSlack)
-    , m_publisher(m_directory, detail::newLife())
-    , m_heard(std::chrono::duration_cast<Duration>(announceInterval * LeaseInAnnounceIntervals))
+    , m_publisher(m_directory, detail::randomLogLife())
+    , m_localLeases(std::chrono::duration_cast<Duration>(announceInterval * LeaseInAnnounceIntervals))
     , m_reconciler(m_directory)
-    , m_answers(m_directory)
-    , m_drains(borne, self)
+    , m_responder(m_directory)
+    , m_drains(tolerance, self)
     , m_started(now)
 {
 }
@@ -44,15 +45,15 @@
 void BasicTargetExchange<Links>::announce(TimePoint now, const TargetRecord &record, Respond respond)
 {
     ++m_announcements;
-    for (const TargetStatus &news : m_directory.announce(now, record)) {
-        spread(now, news);
+    for (const TargetStatus &status : m_directory.announce(now, record)) {
+        propagate(now, status);
     }
     for (const TargetKey key : m_directory.takeAnnouncedHere()) {
-        m_heard.heard(now, key);
+        m_localLeases.renew(now, key);
     }
     const TargetRecord *known = m_directory.find(record.key);
     if (known != nullptr && known->phase != TargetPhase::Serving) {
-        return confirm(now, *known, std::move(respond));
+        return confirmDrain(now, *known, std::move(respond));
     }
     notifyReplicas(now);
     respond(known != nullptr);
@@ -61,25 +62,25 @@
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::leave(TimePoint now, TargetKey key, std::uint64_t born, Respond respond)
 {
-    const std::optional<TargetStatus> news = m_directory.leave(now, key, born);
-    if (!news) {
-        // Nobody here knows that lifetime, so nobody sends it anything either.
+    const std::optional<TargetStatus> status = m_directory.leave(now, key, born);
+    if (!status) {
+        // The lifetime is unknown or already over, so no balancer assigns flows to it.
         return respond(true);
     }
-    spread(now, *news);
-    confirm(now, news->record, std::move(respond));
+    propagate(now, *status);
+    confirmDrain(now, status->record, std::move(respond));
 }
 
-// Others may have missed the news that began this, so they are told again until enough of them have confirmed it. A target
-// that drains goes on announcing that, and must not cost a round of all replicas each time.
+// Other replicas may have missed the change, so it is sent again until enough of them have confirmed it. A draining target
+// continues to announce itself, which must not cause a message to all replicas each time once the drain is confirmed.
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::confirm(TimePoint now, const TargetRecord &record, Respond respond)
+void BasicTargetExchange<Links>::confirmDrain(TimePoint now, const TargetRecord &record, Respond respond)
 {
     const TargetLifetime lifetime{record.key, record.born};
     if (m_drains.confirmed(lifetime, record.phase)) {
         return respond(true);
     }
-    m_news.add(record.key);
+    m_changeBatch.add(record.key);
     notifyReplicas(now);
     m_drains.await(now, lifetime, record.phase, [this, began = now, respond = std::move(respond)](bool confirmed) {
         if (confirmed) {
@@ -98,33 +99,33 @@
     }
 }
 
-// ---- News ----
+// ---- Changes ----
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::spread(TimePoint now, const TargetStatus &news)
+void BasicTargetExchange<Links>::propagate(TimePoint now, const TargetStatus &status)
 {
     m_changed = true;
-    m_news.add(news.record.key);
-    notifyFollowers({&news, 1});
-    if (const auto leftOut = m_newsLog.take(now)) {
+    m_changeBatch.add(status.record.key);
+    notifyFollowers({&status, 1});
+    if (const auto leftOut = m_changeLog.take(now)) {
         LogLine(LogLevel::Info, "target-changed")
-            .with("target", value(news.record.key))
-            .with("service", news.record.service)
-            .with("address", toText(news.record.address))
-            .with("phase", static_cast<int>(news.record.phase))
-            .with("sequence", news.record.sequence)
+            .with("target", value(status.record.key))
+            .with("service", status.record.service)
+            .with("address", toText(status.record.address))
+            .with("phase", static_cast<int>(status.record.phase))
+            .with("sequence", status.record.sequence)
             .with("left-out", *leftOut);
     }
 }
 
-// Tells the other replicas what changed here, unless they were told a moment ago.
+// Sends pending changes to the other replicas, at most once per ReplicaUpdateInterval.
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::notifyReplicas(TimePoint now)
 {
-    const std::vector<TargetKey> keys = m_news.take(now);
-    for (std::span<const TargetKey> left = keys; !left.empty(); left = left.subspan(std::min(left.size(), PageTargets))) {
+    const std::vector<TargetKey> keys = m_changeBatch.take(now);
+    for (std::span<const TargetKey> rest = keys; !rest.empty(); rest = rest.subspan(std::min(rest.size(), PageTargets))) {
         TargetStatusList list;
-        for (const TargetKey key : left.first(std::min(left.size(), PageTargets))) {
+        for (const TargetKey key : rest.first(std::min(rest.size(), PageTargets))) {
             if (std::optional<TargetStatus> status = m_directory.status(now, key)) {
                 list.news.push_back(std::move(*status));
             }
@@ -136,15 +137,15 @@
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::onTargetStatuses(TimePoint now, ReplicaLinkId link, const TargetStatusList &list)
 {
-    m_reconciler.progressed(now, link);
+    m_reconciler.onProgress(now, link);
     std::vector<TargetStatus> changed;
     TargetReceipts receipts;
-    for (const TargetStatus &news : list.news) {
-        if (std::optional<TargetStatus> taken = m_directory.take(now, news)) {
-            changed.push_back(std::move(*taken));
+    for (const TargetStatus &status : list.news) {
+        if (std::optional<TargetStatus> applied = m_directory.take(now, status)) {
+            changed.push_back(std::move(*applied));
         }
-        if (news.record.phase != TargetPhase::Serving) {
-            receipts.receipts.push_back({{news.record.key, news.record.born}, news.record.phase});
+        if (status.record.phase != TargetPhase::Serving) {
+            receipts.receipts.push_back({{status.record.key, status.record.born}, status.record.phase});
         }
     }
     if (!receipts.receipts.empty()) {
@@ -155,12 +156,12 @@
 }
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::onLeaseUpdate(TimePoint now, ReplicaLinkId link, const TargetLeaseUpdate &beat)
+void BasicTargetExchange<Links>::onLeaseUpdate(TimePoint now, ReplicaLinkId link, const TargetLeaseUpdate &update)
 {
-    notifyFollowers(m_directory.heard(now, m_peerLeases.take(link, beat)));
-    for (const ExpiredLease &missed : beat.missed) {
-        if (!m_heard.holdsLease(missed.key) && !m_peerLeases.holdsLease(missed.key)) {
-            m_directory.missed(now, missed);
+    notifyFollowers(m_directory.renew(now, m_peerLeases.apply(link, update)));
+    for (const ExpiredLease &lease : update.expired) {
+        if (!m_localLeases.holdsLease(lease.key) && !m_peerLeases.holdsLease(lease.key)) {
+            m_directory.leaseExpired(now, lease);
         }
     }
 }
@@ -174,14 +175,14 @@
     }
 }
 
-// ---- What other replicas know ----
+// ---- Comparison with other replicas ----
 
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::linked(ReplicaId peer, ReplicaLinkId link)
 {
     m_reconciler.linked(peer, link);
     if (m_links.isDialled(link)) {
-        m_links.send(link, m_heard.whole()); // Beats go on the links that were dialled from here, and this is the first.
+        m_links.send(link, m_localLeases.snapshot()); // Heartbeats are sent on links dialled from here; this is the first.
     }
 }
 
@@ -204,18 +205,18 @@
     if (!digest.isValid()) {
         return logMalformed(now, "directory-digest");
     }
-    if (const auto query = m_reconciler.digest(now, link, digest)) {
+    if (const auto query = m_reconciler.onDigest(now, link, digest)) {
         LogLine(LogLevel::Info, "directory-differs").with("parts", query->wanted.size()).with("of", query->buckets);
         m_links.send(link, *query);
     }
-    askNext(now);
+    sendNextCompare(now);
 }
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::askNext(TimePoint now)
+void BasicTargetExchange<Links>::sendNextCompare(TimePoint now)
 {
-    if (const auto question = m_reconciler.ask(now)) {
-        m_links.send(question->link, question->compare);
+    if (const auto comparison = m_reconciler.nextComparison(now)) {
+        m_links.send(comparison->link, comparison->compare);
     }
 }
 
@@ -225,13 +226,13 @@
     if (!query.isValid()) {
         return logMalformed(now, "directory-query");
     }
-    m_answers.begin(link, query);
+    m_responder.begin(link, query);
 }
 
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::onAnswered(ReplicaLinkId link, const DirectoryQueryDone &answer)
 {
-    m_reconciler.answered(link, answer);
+    m_reconciler.onQueryDone(link, answer);
 }
 
 template<ExchangeLinks Links>
@@ -239,14 +240,14 @@
 {
     m_reconciler.closed(link);
     m_peerLeases.closed(link);
-    m_answers.closed(link);
+    m_responder.closed(link);
 }
 
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::reconcile(TimePoint now)
 {
-    askNext(now);
-    m_answers.turn(now, informed(now), m_links);
+    sendNextCompare(now);
+    m_responder.sendDue(now, informed(now), m_links);
 }
 
 template<ExchangeLinks Links>
@@ -292,7 +293,7 @@
     }
 }
 
-// ---- Whom to tell when ----
+// ---- Restart, heartbeat and silence ----
 
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::restore(TimePoint now, std::span<const TargetStatus> targets)
@@ -307,10 +308,10 @@
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::sendHeartbeat(TimePoint now)
 {
-    m_links.sendAll(m_links.dialled(), m_heard.changes(now));
+    m_links.sendAll(m_links.dialled(), m_localLeases.takeChanges(now));
     const std::vector<TargetStatus> silent = m_directory.tick(now);
-    for (const TargetStatus &news : silent) {
-        logSilent(now, news);
+    for (const TargetStatus &status : silent) {
+        logSilent(now, status);
     }
     notifyFollowers(silent);
     const std::vector<TargetKey> forgotten = m_directory.takeForgotten();
@@ -321,24 +322,24 @@
 }
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::logSilent(TimePoint now, const TargetStatus &news)
+void BasicTargetExchange<Links>::logSilent(TimePoint now, const TargetStatus &status)
 {
     if (const auto leftOut = m_silentLog.take(now)) {
         LogLine(LogLevel::Warning, "target-silent")
-            .with("target", value(news.record.key))
-            .with("silent-ms", news.age.count() / 1000)
+            .with("target", value(status.record.key))
+            .with("silent-ms", status.age.count() / 1000)
             .with("left-out", *leftOut);
     }
 }
 
-// Whether the targets that are there have had time to announce themselves, here or at another replica.
+// Whether all running targets have had time to announce themselves, here or at another replica.
 template<ExchangeLinks Links>
 bool BasicTargetExchange<Links>::informed(TimePoint now) const
 {
     return m_restored || m_reconciler.informed() || now - m_started >= m_announceInterval * MaxMissedAnnouncements;
 }
 
-// ---- Small questions ----
+// ---- Accessors ----
 
 template<ExchangeLinks Links>
 std::vector<TargetStatus> BasicTargetExchange<Links>::all(TimePoint now) const
--- a/src/target_probe.h
+++ b/src/target_probe.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: MIT
-// Target probe: what is done about a target that does not answer on open flows, as decisions without I/O.
+// Target probe: decides, without I/O, when a target that does not answer on open flows is gone.
 //
-// The pattern that it answers: some targets lose power at once. Packets of their open flows have nowhere else to go, so
-// each such flow costs its caller one request that waits until its deadline, up to a second or more after the target's
-// end, until the target's silence is certain. The next request on an idle flow need not be lost: once the target is
-// known to be gone, its flows are reset, and the caller opens another one.
+// When targets lose power, packets of their open flows can't be sent anywhere else. Until the failure is certain, a second or
+// more after it, each such flow costs its caller one request that waits until its deadline. The next request on an idle flow
+// need not be lost: once the target is known to be gone, its flows are reset, and the caller opens another one.
 //
-// A reset on a flow whose target lives would break it. What makes the end certain: balancers saw data of open flows
-// repeated, twice or more, without any sign of life since; then as many replicas as could be wrong at once, and one more, each tried to
-// connect to the target and got no answer within many round trips; and no packet through the balancer that resets
-// showed life meanwhile. A target that is slow or full still answers a connection, as its kernel does that.
+// Resetting a flow of a live target would break it, so all of the following must hold. Balancers saw data of open flows
+// retransmitted, twice or more (once if the target's announcement is overdue), without any sign of life since. Then one
+// more replica than could be wrong at the same time tried to connect to the target and got no answer within many round
+// trips. And the balancer that resets the flows has forwarded no packet meanwhile that shows the target to be alive. A
+// target that is slow or overloaded still accepts a connection, because its kernel does that.
 #pragma once
 
 #include "loss_tolerance.h"
@@ -24,50 +24,51 @@
 // A replica probes the same target at most once in this time.
 inline constexpr Duration MinProbeInterval = std::chrono::milliseconds(500);
 
-// So many reports within MinProbeInterval make a replica probe: a packet that is lost on its way gives one.
+// Reports within MinProbeInterval that trigger a probe; a single lost packet causes one report.
 inline constexpr int ReportsForProbe = 2;
 
-// Most reports that a balancer hands on in one tick.
+// Maximum number of reports that a balancer forwards per tick.
 inline constexpr std::size_t MaxReportsPerTick = 64;
 
-// A target that has not answered a connection after this is unreachable from here. Data centres are up to 20 ms apart,
-// so it is seven round trips or more.
+// A target that has not accepted a connection after this time is unreachable from here. Data centres are up to 20 ms apart,
+// so this is at least seven round trips.
 inline constexpr Duration ProbeTimeout = std::chrono::milliseconds(300);
 
-// Probes that one replica has under way. More targets that fall silent at once wait for the next report.
+// Maximum number of concurrent probes of one replica. Further silent targets are probed after a later report.
 inline constexpr std::size_t MaxTargetProbes = 256;
 
-// What a replica found holds this long: the probes that one report sets off end within the time-out of each other.
+// How long the result of a probe is valid: probes that are triggered by the same report end within ProbeTimeout of each
+// other.
 inline constexpr Duration ProbeResultLifetime = std::chrono::milliseconds(1000);
 
-// A target that showed life through a balancer within this time is not taken for gone there, whatever replicas say: the
-// time from the first repetition of its data to the end of the probes.
+// A balancer that saw a sign of life of a target within this time does not take it for gone, whatever the replicas report:
+// the time from the first retransmission of its data to the end of the probes.
 inline constexpr Duration RecentActivityWindow = std::chrono::milliseconds(400);
 
-// A target whose open flows got no answer, as a replica knows it.
+// A target whose open flows got no answer, with what the replica knows about it.
 struct ReportedTarget {
     TargetKey key{};
     Endpoint address;
-    bool overdue = false; // It missed its turn to announce itself, too. Then one report is enough: where hundreds of balancers
-                          // share the load, each target has too few flows for a second one in time.
+    bool overdue = false; // Its announcement is overdue as well. Then one report is enough: where hundreds of balancers share
+                          // the load, a target has too few flows for a second report in time.
 };
 
-// Which targets a replica probes, and when.
+// Decides which targets a replica probes, and when.
 class ProbeSchedule
 {
 public:
-    // A target was reported. Whether to probe it now; if so, ended() must follow.
+    // A target was reported. Returns whether to probe it now; if so, ended() must be called afterwards.
     bool reported(TimePoint now, const ReportedTarget &target)
     {
         const TargetKey key = target.key;
         std::erase_if(m_probes, [now](const auto &each) {
-            return !each.second.underWay && now - each.second.since >= MinProbeInterval;
+            return !each.second.inProgress && now - each.second.since >= MinProbeInterval;
         });
         if (m_probes.size() >= MaxTargetProbes && !m_probes.contains(key)) {
             return false;
         }
         Probe &probe = m_probes.try_emplace(key, Probe{now}).first->second;
-        if (probe.begun || ++probe.reports < (target.overdue ? 1 : ReportsForProbe)) {
+        if (probe.started || ++probe.reports < (target.overdue ? 1 : ReportsForProbe)) {
             return false;
         }
         probe = {now, probe.reports, true, true};
@@ -77,67 +78,67 @@
     void ended(TargetKey key)
     {
         if (const auto probe = m_probes.find(key); probe != m_probes.end()) {
-            probe->second.underWay = false;
+            probe->second.inProgress = false;
         }
     }
 
 private:
     struct Probe {
-        TimePoint since; // Its first report, then its begin.
+        TimePoint since; // Time of the first report, then of the start of the probe.
         int reports = 0;
-        bool begun = false;
-        bool underWay = false;
+        bool started = false;
+        bool inProgress = false;
     };
-    std::map<TargetKey, Probe> m_probes; // Under way, or reported or begun within MinProbeInterval.
+    std::map<TargetKey, Probe> m_probes; // In progress, or reported or started within MinProbeInterval.
 };
 
-// What replicas found, as a balancer collects it.
+// Collects the replicas' probe results at a balancer.
 class ProbeResults
 {
 public:
-    // So many replicas must find a target unreachable before it is taken for gone that a borne loss, such as the cut of a data
-    // centre, can't be what they all saw.
-    explicit ProbeResults(const LossTolerance &borne)
-        : m_tolerance(borne)
+    // A target is taken for gone only if so many replicas find it unreachable that a tolerated loss, such as that of a data
+    // centre's connectivity, can't explain all of their results.
+    explicit ProbeResults(const LossTolerance &tolerance)
+        : m_tolerance(tolerance)
     {
     }
 
-    // A replica found this target unreachable. Whether that makes it certain.
-    bool unreachable(TimePoint now, const ReplicaPlace &finder, TargetKey key)
+    // A replica found the target unreachable. Returns whether the target now counts as gone.
+    bool unreachable(TimePoint now, const ReplicaPlace &prober, TargetKey key)
     {
-        forgetOld(now);
-        if (m_findings.size() >= MaxTargetProbes && !m_findings.contains(key)) {
+        removeOld(now);
+        if (m_results.size() >= MaxTargetProbes && !m_results.contains(key)) {
             return false;
         }
-        std::map<ReplicaId, Finding> &findings = m_findings[key];
-        findings[finder.replica] = {now, finder.dataCentre};
-        ReplicaLocations finders;
-        for (const auto &[replica, finding] : findings) {
-            finders[replica] = finding.dataCentre;
+        std::map<ReplicaId, Result> &results = m_results[key];
+        results[prober.replica] = {now, prober.dataCentre};
+        ReplicaLocations holders;
+        for (const auto &[replica, result] : results) {
+            holders[replica] = result.dataCentre;
         }
-        return m_tolerance.isMetBy(finders);
+        return m_tolerance.isMetBy(holders);
     }
 
 private:
-    struct Finding {
+    struct Result {
         TimePoint at;
         DataCentreId dataCentre{};
     };
 
-    void forgetOld(TimePoint now)
+    void removeOld(TimePoint now)
     {
-        for (auto &[key, findings] : m_findings) {
-            std::erase_if(findings, [now](const auto &each) {
+        for (auto &[key, results] : m_results) {
+            std::erase_if(results, [now](const auto &each) {
                 return now - each.second.at >= ProbeResultLifetime;
             });
         }
-        std::erase_if(m_findings, [](const auto &each) {
+        std::erase_if(m_results, [](const auto &each) {
             return each.second.empty();
         });
     }
 
     LossTolerance m_tolerance;
-    std::map<TargetKey, std::map<ReplicaId, Finding>> m_findings;
+    std::map<TargetKey, std::map<ReplicaId, Result>> m_results;
 };
 
 } // namespace Robinrail
--- a/src/target_prober.h
+++ b/src/target_prober.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Target prober: a replica's connections to targets that balancers report as silent.
+// Target prober: tries to connect to targets that balancers report as silent.
 #pragma once
 
 #include "standstill_watch.h"
@@ -16,16 +16,15 @@
 public:
     explicit TargetProber(boost::asio::io_context &io);
 
-    // A balancer reported a target. Tries to connect to it once there are enough reports, unless it was tried a moment ago,
-    // and keeps it in mind if that fails: nobody answers in time, or the machine refuses. Nothing is sent on the
-    // connection.
+    // A balancer reported a target. Connects to it once there are enough reports, unless it was probed recently, and records
+    // it as unreachable if the connection times out or is refused. Nothing is sent on the connection.
     void reported(TimePoint now, const ReportedTarget &target);
 
-    // The process runs. Call it at each tick: a probe during which it did not run says nothing.
+    // Call at each tick, to detect that the process was stalled: results of probes during a stall are discarded.
     void tick(TimePoint now);
 
-    // The targets that were found unreachable since the last call. None as long as no target ever answered a probe of
-    // this process: where targets take no connections at all, an unanswered one says nothing.
+    // The targets that were found unreachable since the last call. Empty until a target has answered a probe of this process:
+    // where targets accept no connections at all, a failed probe means nothing.
     std::vector<TargetKey> takeUnreachable();
 
     std::uint64_t probes() const;
@@ -37,7 +36,7 @@
     ProbeSchedule m_schedule;
     TimePoint m_lastTick;
     std::uint64_t m_standstills = 0;
-    bool m_anyAnswered = false; // Targets here do take connections.
+    bool m_anyAnswered = false; // At least one target has accepted a connection.
     std::vector<TargetKey> m_unreachable;
     std::uint64_t m_probes = 0;
 };
--- a/src/target_record.h
+++ b/src/target_record.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Target record: what a target announced of itself, as replicas and balancers pass it on.
+// Target record: what a target announced about itself, in the form that replicas and balancers exchange.
 #pragma once
 
 #include "types.h"
@@ -9,13 +9,13 @@
 
 namespace Robinrail {
 
-// A target. A restart has another key, or the same one and a later birth. Never 0.
+// Identifies a target; never 0. After a restart a target has a new key, or the same key with a later `born`.
 enum class TargetKey : std::uint64_t {};
 
-// One lifetime of a target.
+// One lifetime of a target: from a start of its process to its end.
 struct TargetLifetime {
     TargetKey key{};
-    std::uint64_t born = 0; // As in TargetRecord.
+    std::uint64_t born = 0; // See TargetRecord.
 
     auto operator<=>(const TargetLifetime &) const = default;
 
@@ -27,8 +27,8 @@
 
 enum class TargetPhase : std::uint8_t {
     Serving,
-    Draining, // Finishes its flows and gets no new ones.
-    Left, // Its lifetime is over.
+    Draining, // Serves its open flows and is assigned no new ones.
+    Left, // Final: the lifetime has ended.
 };
 
 struct TargetRecord {
@@ -36,11 +36,11 @@
     std::string service;
     Endpoint address;
     DataCentreId dataCentre{};
-    std::uint32_t slots = 1; // Requests that it runs at a time.
+    std::uint32_t slots = 1; // Maximum number of requests that run concurrently.
     TargetPhase phase = TargetPhase::Serving;
-    Duration warmupLeft{}; // How long it stays slow, from when this was announced.
-    std::uint64_t sequence = 0; // Rises with every announcement of a lifetime.
-    std::uint64_t born = 0; // When the lifetime began by the target's own clock, Unix milliseconds; 0: not told.
+    Duration warmupLeft{}; // Remaining warm-up time at the time of the announcement.
+    std::uint64_t sequence = 0; // Increases with every announcement within a lifetime.
+    std::uint64_t born = 0; // Start of the lifetime by the target's own clock, Unix milliseconds; 0 if not given.
 
     static constexpr std::size_t OldestFields = 8;
 
@@ -49,7 +49,7 @@
         return std::tie(key, service, address, dataCentre, slots, phase, warmupLeft, sequence, born);
     }
 
-    // Whether this is news to somebody who holds `other`. Nothing follows the end of a lifetime but a later one.
+    // Whether this record replaces `other`. A lifetime that ended is only replaced by a later lifetime.
     bool supersedes(const TargetRecord &other) const
     {
         if (born != other.born) {
@@ -61,19 +61,19 @@
         return phase == TargetPhase::Left || sequence > other.sequence;
     }
 
-    // Whether balancers must hear of the difference.
+    // Whether the difference is relevant to balancers.
     bool differs(const TargetRecord &other) const
     {
         return service != other.service || address != other.address || slots != other.slots || phase != other.phase || born != other.born;
     }
 };
 
-// A record as one replica vouches for it.
+// A record together with what one replica knows about it.
 struct TargetStatus {
     TargetRecord record;
-    bool silent = false; // No announcement reached any replica for a while.
-    Duration age{}; // Since the last announcement.
-    Duration known{}; // Since the first one, as far as anybody heard it; it orders lifetimes at one address.
+    bool silent = false; // No announcement reached any replica within the silence limit.
+    Duration age{}; // Time since the last announcement.
+    Duration known{}; // Time since the first announcement known to any replica; orders lifetimes that share an address.
 
     auto fields()
     {
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -80,25 +80,25 @@
     'm_informed ? reset(SteeringReason::NoRoute, packet) : hold(SteeringReason::NotInformed)' \
     'm_informed ? reset(SteeringReason::NoRoute, packet) : drop(SteeringReason::NotInformed)' '*holds what it does not know*'
 mutate "steering: former lifetimes end at the first announcement only" src/target_directory.cpp \
-    'known == nullptr || known->phase != TargetPhase::Left ||' 'known == nullptr ||' '*restarts at once*'
-mutate "steering: any lifetime ends the others at its address" src/target_directory.cpp 'entry.firstHeard < since' '(entry.firstHeard < since || entry.firstHeard >= since)' '*held up ends no successor*'
+    'known == nullptr || known->phase != TargetPhase::Left ||' 'known == nullptr ||' '*restarts immediately*'
+mutate "steering: any lifetime ends the others at its address" src/target_directory.cpp 'entry.firstHeard < since' '(entry.firstHeard < since || entry.firstHeard >= since)' '*delayed announcement ends no successor*'
 mutate "steering: an unknown lifetime is the youngest" src/target_directory.cpp 'std::min(before, MaxCountedIntervals)' \
-    'std::min(before, MaxCountedIntervals / 100'"'"'000)' '*held up ends no successor*'
-mutate "steering: replicas do not tell since when a lifetime is known" src/target_directory.cpp \
-    'std::min(entry.firstHeard, now - news.known)' 'entry.firstHeard' '*agree which is the older*'
-mutate "steering: one replica's word makes a target gone" src/target_probe.h 'return finders.size() >= m_needed;' \
-    'return finders.size() + m_needed > 0;' '*enough different replicas*,*troubles no flow*'
+    'std::min(before, MaxCountedIntervals / 100'"'"'000)' '*delayed announcement ends no successor*'
+mutate "steering: replicas do not share when a lifetime was first heard" src/target_directory.cpp \
+    'std::min(entry.firstHeard, now - status.known)' 'entry.firstHeard' '*agree which one is older*'
+mutate "steering: the result of one replica makes a target gone" src/target_probe.h 'return finders.size() >= m_needed;' \
+    'return finders.size() + m_needed > 0;' '*enough different replicas*,*random faults no flow*'
 mutate "steering: signs of life do not speak against a target's end" src/steering_targets.cpp \
-    '|| now - at->second.alive < RecentActivityWindow' '' '*showed life through*'
-mutate "steering: a probe during a standstill counts" src/target_prober.cpp '&& standstills == m_standstills' \
-    '&& standstills <= m_standstills' '*stood still during a probe*'
-mutate "steering: probes count where no target takes any" src/target_prober.cpp '&& m_anyAnswered &&' '&&' '*no target ever answered*'
-mutate "steering: any lost packet sets off probes" src/target_probe.h '(target.overdue ? 1 : ReportsForProbe)' \
-    '1' '*lost here and there*'
-mutate "steering: what was found long ago counts" src/target_probe.h 'return now - each.second.at >= ProbeResultLifetime;' \
+    '|| now - at->second.alive < RecentActivityWindow' '' '*recent sign of life through*'
+mutate "steering: a probe during a stall counts" src/target_prober.cpp '&& standstills == m_standstills' \
+    '&& standstills <= m_standstills' '*stalled during a probe*'
+mutate "steering: probes count where no target accepts connections" src/target_prober.cpp '&& m_anyAnswered &&' '&&' '*never answered by any target*'
+mutate "steering: any lost packet triggers a probe" src/target_probe.h '(target.overdue ? 1 : ReportsForProbe)' \
+    '1' '*isolated lost packets*'
+mutate "steering: expired probe results count" src/target_probe.h 'return now - each.second.at >= ProbeResultLifetime;' \
     'return now < each.second.at;' '*enough different replicas*'
 mutate "steering: life during resets does not end them" src/steering_targets.cpp \
-    '    target.flowsOver = false;' '' '*keeps those that are left*'
+    '    target.flowsOver = false;' '' '*keeps the remaining ones*'
 mutate "steering: removed routes are never forgotten" src/flow_steering.cpp 'return now - seen >= LeftTargetRetention;' \
     'return now < seen;' '*forgotten once its flows*'
 mutate "steering: messages of other clusters are taken" src/replica_driver.cpp \
@@ -118,33 +118,33 @@
     'm_response.keep_alive(m_parser->get().keep_alive() && !reply.last);' 'm_response.keep_alive(false);' '*keeps its connection*'
 mutate "links: the longest open connection is closed, busy or not" src/http.cpp 'if (connection->closeIfUnused()) {' \
     'if (connection == nullptr) {' '*flood of connections*'
-mutate "directory: a page tells more than it holds" src/directory_log.cpp 'slice.upTo = std::prev(at)->first;' \
-    'slice.upTo = m_newest;' '*what changed after any number*,*ends alike*'
-mutate "directory: a target that was forgotten is passed over" src/directory_log.cpp 'return number >= m_forgotten;' \
-    'return number + m_forgotten >= number;' '*tell all that was missed*,*stands still while*'
-mutate "directory: numbers of another life go on" src/directory_log.cpp 'life == m_life && after <= m_newest' \
-    'life != 0 && after <= m_newest' '*tell all that was missed*,*ends alike*'
-mutate "directory: who is not listed stays" src/directory_follower.cpp 'm_targets.keepVouched(replica, std::exchange(progress.listed, {}));' \
-    'progress.listed.clear();' '*from the same life*,*ends alike*'
-mutate "directory: pages go out however slow the link" src/directory_publisher.h '&& links.buffered(id) < MaxFollowerBacklog' '' \
+mutate "directory: a page claims more changes than it holds" src/directory_log.cpp 'slice.upTo = std::prev(at)->first;' \
+    'slice.upTo = m_newest;' '*changes after any number*,*follower converges*'
+mutate "directory: the removal of a target is ignored" src/directory_log.cpp 'return number >= m_forgotten;' \
+    'return number + m_forgotten >= number;' '*all changes that were missed*,*link is blocked while*'
+mutate "directory: numbers of another run of the log are accepted" src/directory_log.cpp 'life == m_life && after <= m_newest' \
+    'life != 0 && after <= m_newest' '*all changes that were missed*,*follower converges*'
+mutate "directory: targets that are not listed stay" src/directory_follower.cpp 'm_targets.keepVouched(replica, std::exchange(progress.listed, {}));' \
+    'progress.listed.clear();' '*from the same run*,*follower converges*'
+mutate "directory: pages are sent regardless of the backlog" src/directory_publisher.h '&& links.buffered(id) < MaxFollowerBacklog' '' \
     '*leave room on its link*'
-mutate "digest: what differs is not asked for" src/directory_reconciler.cpp 'if (query.wanted.empty()) {' 'if (m_buckets != 0) {' \
+mutate "digest: differing buckets are not queried" src/directory_reconciler.cpp 'if (query.wanted.empty()) {' 'if (m_buckets != 0) {' \
     '*few targets that differ*,*each target once*'
-mutate "digest: all replicas are asked at once" src/directory_reconciler.cpp 'if (m_asked || m_waiting.empty()) {' 'if (m_waiting.empty()) {' \
+mutate "digest: all replicas are queried at the same time" src/directory_reconciler.cpp 'if (m_current || m_waiting.empty()) {' 'if (m_waiting.empty()) {' \
     '*each target once*'
-mutate "digest: one that fell silent is waited for" src/directory_reconciler.cpp 'now - m_progressAt >= ReconcileTimeout' 'now < m_progressAt' \
-    '*keeps no other from being asked*'
+mutate "digest: a silent replica is waited for" src/directory_reconciler.cpp 'now - m_lastProgress >= ReconcileTimeout' 'now < m_lastProgress' \
+    '*does not block queries*'
 mutate "drain: confirmed for all lifetimes" src/drain_confirmations.cpp 'at->second.lifetime == lifetime && at->second.phase >= phase' \
-    'at->second.phase >= phase' '*confirmed once*'
-mutate "drain: never taken for confirmed" src/drain_confirmations.cpp 'm_confirmed[lifetime.key] = {lifetime, open.phase};' '' \
-    '*confirmed once*,*follows the time that it takes*'
-mutate "loss: the word of one data centre is enough" src/loss_tolerance.h 'places.size() > dataCentres' '!places.empty()' \
+    'at->second.phase >= phase' '*confirmed drain needs*'
+mutate "drain: confirmations are not recorded" src/drain_confirmations.cpp 'm_confirmed[lifetime.key] = {lifetime, pending.phase};' '' \
+    '*confirmed drain needs*,*depend on its duration*'
+mutate "loss: the replicas of one data centre are enough" src/loss_tolerance.h 'dataCentresHeld.size() > dataCentres' '!dataCentresHeld.empty()' \
     '*data centre alone*,*all replicas of one data centre*'
-mutate "beats: the word of a lost link stays" src/heard_targets.cpp 'm_links.erase(link);' 'm_links.try_emplace(link);' '*lost link ends that word*'
-mutate "beats: when a missed target was heard is left out" src/target_directory.cpp 'std::min(found->second.heard, now - target.age)' \
-    'std::max(found->second.heard, now - target.age)' '*silent target is found elsewhere*'
-mutate "probers: those of one data centre first" src/prober_choice.h 'taken[place.dataCentre]++' '0 * taken[place.dataCentre]++' \
-    '*same few for all*'
+mutate "leases: those of a lost link stay" src/heard_targets.cpp 'm_links.erase(link);' 'm_links.try_emplace(link);' '*lost link ends them*'
+mutate "leases: the age of an expired lease is ignored" src/target_directory.cpp 'std::min(found->second.lastHeard, now - lease.age)' \
+    'std::max(found->second.lastHeard, now - lease.age)' '*silent target is detected through leases*'
+mutate "probers: those of one data centre first" src/prober_choice.h 'rankInDataCentre[place.dataCentre]++' '0 * rankInDataCentre[place.dataCentre]++' \
+    '*are the same everywhere*'
 mutate "replica choice: a replica without a quorum is followed on" src/replica_choice.cpp 'now - at->second.confirmedAt < HealthyFor' \
     'at->second.confirmedAt <= now' '*lost its quorum*'
 mutate "replica choice: all return at once" src/replica_choice.cpp 'now >= m_states.at(replica).returnAt' 'now >= TimePoint{}' '*one after the other*'
@@ -168,12 +168,12 @@
     'if (late && first == nullptr && !stays) {' '*does not take an open flow away*'
 mutate "warm-up: a limited cold target is used" src/flow_steering.cpp '&& !(spareCold && context.now < target.warmAt)' '&& (spareCold || !spareCold)' \
     '*whose warm-up is limited*'
-mutate "births: a later lifetime is late news" src/target_record.h 'return born > other.born;' 'return born < other.born;' '*starts again under its key*'
-mutate "births: receipts of any lifetime confirm" src/target_record.h 'auto operator<=>(const TargetLifetime &) const = default;' \
+mutate "lifetimes: a later one is superseded" src/target_record.h 'return born > other.born;' 'return born < other.born;' '*restarts under the same key*,*starts again under its key*'
+mutate "lifetimes: receipts of any lifetime confirm" src/target_record.h 'auto operator<=>(const TargetLifetime &) const = default;' \
     'auto operator<=>(const TargetLifetime &other) const { return key <=> other.key; } bool operator==(const TargetLifetime &other) const { return key == other.key; }' \
     '*former lifetime*'
 mutate "gone: flows that are new here go on to a gone target" src/flow_steering.cpp 'if (target->gone(now) && packet.dataBytes > 0) {' \
-    'if (target->gone(now) && packet.dataBytes > 5000) {' '*new here is reset*'
+    'if (target->gone(now) && packet.dataBytes > 5000) {' '*unknown flow is reset*'
 mutate "gone: data that began elsewhere is a sign of life" src/flow_steering.cpp 'if (answered && !unheard) {' 'if (answered || unheard) {' '*its data began elsewhere*'
 mutate "choice: the least used by own counts" src/flow_steering.h 'using FlowSteering = BasicFlowSteering<TwoChoices>;' \
     'using FlowSteering = BasicFlowSteering<LeastUsedChoice>;' '*draws at most twice*'
--- a/tests/test_directory.cpp
+++ b/tests/test_directory.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Directory: what balancers learn of a replica's directory in pages.
+// Directory: log, publisher and follower, by which balancers receive a replica's directory in pages.
 #include "directory_follower.h"
 #include "directory_publisher.h"
 
@@ -17,7 +17,7 @@
 constexpr ReplicaId Near{21};
 constexpr ReplicaId Far{22};
 constexpr DataCentreId Home{1};
-constexpr std::uint64_t Life = 77;
+constexpr std::uint64_t LogLife = 77;
 constexpr FollowerId OnlyFollower = 5;
 const TimePoint Start(std::chrono::hours(1));
 
@@ -33,8 +33,8 @@
     return record;
 }
 
-// Links whose messages wait until somebody takes them.
-struct WaitingLinks {
+// Links whose messages are queued until the test takes them.
+struct QueuedLinks {
     std::map<FollowerId, std::deque<Bytes>> queues;
     std::uint64_t bytes = 0;
 
@@ -65,24 +65,24 @@
     }
 };
 
-// A replica's directory with its publisher.
+// A replica's directory and its publisher.
 struct Replica {
-    explicit Replica(std::uint64_t life = Life)
+    explicit Replica(std::uint64_t life = LogLife)
         : publisher(directory, life)
     {
     }
 
     void announce(TimePoint now, const TargetRecord &record)
     {
-        for (const TargetStatus &news : directory.announce(now, record)) {
-            publisher.changed(news.record.key);
+        for (const TargetStatus &status : directory.announce(now, record)) {
+            publisher.changed(status.record.key);
         }
     }
 
     void tick(TimePoint now)
     {
-        for (const TargetStatus &news : directory.tick(now)) {
-            publisher.changed(news.record.key);
+        for (const TargetStatus &status : directory.tick(now)) {
+            publisher.changed(status.record.key);
         }
         publisher.forget(directory.takeForgotten());
     }
@@ -98,14 +98,14 @@
         return follower.take(now, replica, page);
     }
 
-    // Takes all that waits; the last verdict.
-    PageResult drain(TimePoint now, WaitingLinks &links, FollowerId id = OnlyFollower, ReplicaId replica = Near)
+    // Applies all queued pages and returns the last result.
+    PageResult drain(TimePoint now, QueuedLinks &links, FollowerId id = OnlyFollower, ReplicaId replica = Near)
     {
-        PageResult verdict = PageResult::Applied;
+        PageResult result = PageResult::Applied;
         while (const std::optional<DirectoryPage> page = links.take(id)) {
-            verdict = take(now, *page, replica);
+            result = take(now, *page, replica);
         }
-        return verdict;
+        return result;
     }
 
     const SteeredTarget *find(std::uint64_t key)
@@ -123,8 +123,8 @@
     DirectoryFollower follower{targets};
 };
 
-// What a balancer must hold of a directory: each target's phase, and whether it is alive.
-void checkAlike(Balancer &balancer, const TargetDirectory &directory, TimePoint now)
+// Checks that a balancer holds each target of a directory with its phase and liveness.
+void checkMatches(Balancer &balancer, const TargetDirectory &directory, TimePoint now)
 {
     for (const TargetStatus &status : directory.all(now)) {
         const SteeredTarget *target = balancer.find(value(status.record.key));
@@ -138,9 +138,9 @@
 
 } // namespace
 
-TEST_CASE("a log holds each target once, and tells what changed after any number")
+TEST_CASE("a log holds each target once, and returns the changes after any number")
 {
-    DirectoryLog log(Life);
+    DirectoryLog log(LogLife);
     for (int round = 0; round < 50; ++round) {
         log.changed(TargetKey{1});
         log.changed(TargetKey{2});
@@ -155,33 +155,33 @@
     CHECK(log.after(101, 10).upTo == 101);
 }
 
-TEST_CASE("a log goes on only where it can tell all that was missed")
+TEST_CASE("a log resumes only where it has all changes that were missed")
 {
-    DirectoryLog log(Life);
+    DirectoryLog log(LogLife);
     log.changed(TargetKey{1});
     log.changed(TargetKey{2});
     log.changed(TargetKey{3});
-    CHECK(log.resume(Life, 2) == 2);
-    CHECK(log.resume(Life, 3) == 3);
-    CHECK(log.resume(Life, 4) == 0); // From the future.
-    CHECK(log.resume(Life + 1, 2) == 0); // From another life.
+    CHECK(log.resume(LogLife, 2) == 2);
+    CHECK(log.resume(LogLife, 3) == 3);
+    CHECK(log.resume(LogLife, 4) == 0); // Higher than any number so far.
+    CHECK(log.resume(LogLife + 1, 2) == 0); // From another run of the log.
     log.forget(TargetKey{2});
-    CHECK(log.resume(Life, 1) == 0); // It would never hear what became of the second one.
-    CHECK(log.resume(Life, 2) == 2);
+    CHECK(log.resume(LogLife, 1) == 0); // It would never receive the end of target 2.
+    CHECK(log.resume(LogLife, 2) == 2);
     log.forget(TargetKey{9});
-    CHECK(log.resume(Life, 2) == 2);
+    CHECK(log.resume(LogLife, 2) == 2);
 }
 
-TEST_CASE("a follower that is slow gets each target once, in pages that leave room on its link")
+TEST_CASE("a slow follower receives each target once, in pages that leave room on its link")
 {
     constexpr std::uint64_t Targets = 3000;
     Replica replica;
     for (std::uint64_t key = 1; key <= Targets; ++key) {
         replica.announce(Start, targetOf(key));
     }
-    WaitingLinks links;
+    QueuedLinks links;
     replica.publisher.follow(OnlyFollower, {});
-    // Its link takes nothing for a while, in which everything changes ten times.
+    // The link is blocked while every target changes ten times.
     for (std::uint64_t round = 2; round < 12; ++round) {
         for (std::uint64_t key = 1; key <= Targets; ++key) {
             TargetRecord record = targetOf(key, round);
@@ -192,22 +192,22 @@
         CHECK(links.buffered(OnlyFollower) < MaxFollowerBacklog + 8192);
     }
     Balancer balancer;
-    PageResult verdict = PageResult::Applied;
+    PageResult result = PageResult::Applied;
     TimePoint now = Start;
-    while (verdict != PageResult::Completed) {
+    while (result != PageResult::Completed) {
         now += milliseconds(50);
-        verdict = balancer.drain(now, links);
+        result = balancer.drain(now, links);
         replica.publisher.publish(now, true, links);
     }
-    checkAlike(balancer, replica.directory, now);
-    // Less than 40 bytes a target, as a link of 2 Mbit/s must take the whole in half a second.
+    checkMatches(balancer, replica.directory, now);
+    // Less than 40 bytes per target, so that a link of 2 Mbit/s carries the whole directory in half a second.
     CHECK(links.bytes < 40 * Targets);
 }
 
-TEST_CASE("a follower whose link stands still while a target ends and is forgotten is told all once more")
+TEST_CASE("a follower whose link is blocked while a target ends and is removed receives the whole directory again")
 {
     Replica replica;
-    WaitingLinks links;
+    QueuedLinks links;
     Balancer balancer;
     for (std::uint64_t key = 1; key <= 3; ++key) {
         replica.announce(Start, targetOf(key));
@@ -228,13 +228,13 @@
     CHECK_FALSE(balancer.vouched(2));
 }
 
-TEST_CASE("pages are encoded once for all who start at the same moment")
+TEST_CASE("pages are encoded once for all followers that start at the same time")
 {
     Replica replica;
     for (std::uint64_t key = 1; key <= 1000; ++key) {
         replica.announce(Start, targetOf(key));
     }
-    WaitingLinks links;
+    QueuedLinks links;
     for (FollowerId follower = 1; follower <= 60; ++follower) {
         replica.publisher.follow(follower, {});
     }
@@ -244,13 +244,13 @@
     CHECK(replica.publisher.followers() == 59);
 }
 
-TEST_CASE("whoever was away gets the difference from the same life, and all of it from another one")
+TEST_CASE("a returning follower gets the difference from the same run of the log, and the whole directory from another run")
 {
     Replica replica;
     for (std::uint64_t key = 1; key <= 500; ++key) {
         replica.announce(Start, targetOf(key));
     }
-    WaitingLinks links;
+    QueuedLinks links;
     Balancer balancer;
     replica.publisher.follow(OnlyFollower, balancer.follower.request(Near));
     replica.publisher.publish(Start, true, links);
@@ -259,32 +259,32 @@
     TargetRecord drained = targetOf(7, 2);
     drained.phase = TargetPhase::Draining;
     replica.announce(Start + seconds(1), drained);
-    // The difference is one target.
+    // Only one target differs.
     links.bytes = 0;
     CHECK(replica.publisher.follow(6, balancer.follower.request(Near)));
     replica.publisher.publish(Start + seconds(1), true, links);
     CHECK(balancer.drain(Start + seconds(1), links, 6) == PageResult::Completed);
     CHECK(links.bytes < 100);
-    checkAlike(balancer, replica.directory, Start + seconds(1));
-    // The replica lost its disk and its memory; only one target has come back to it.
-    Replica restarted(Life + 1);
+    checkMatches(balancer, replica.directory, Start + seconds(1));
+    // The replica lost its disk and its memory; only one target has announced itself again.
+    Replica restarted(LogLife + 1);
     restarted.announce(Start + seconds(2), targetOf(8, 3));
     CHECK_FALSE(restarted.publisher.follow(8, balancer.follower.request(Near)));
     restarted.publisher.publish(Start + seconds(2), true, links);
     CHECK(balancer.drain(Start + seconds(2), links, 8) == PageResult::Completed);
     CHECK(balancer.vouched(8));
     CHECK_FALSE(balancer.vouched(9));
-    // What it does not know it does not undo, either.
+    // A drain that the restarted replica does not know is not undone.
     CHECK(balancer.find(7)->record.phase == TargetPhase::Draining);
 }
 
-TEST_CASE("a list that was broken off begins anew")
+TEST_CASE("an interrupted transfer of the whole directory starts again")
 {
     Replica replica;
     for (std::uint64_t key = 1; key <= 1000; ++key) {
         replica.announce(Start, targetOf(key));
     }
-    WaitingLinks links;
+    QueuedLinks links;
     Balancer balancer;
     replica.publisher.follow(OnlyFollower, {});
     replica.publisher.publish(Start, true, links);
@@ -294,10 +294,10 @@
     CHECK(balancer.follower.request(Near).life == 0);
 }
 
-TEST_CASE("a page that does not follow, or contradicts itself, is told from a sound one")
+TEST_CASE("a page that is out of sequence or inconsistent is rejected")
 {
     Balancer balancer;
-    DirectoryPage page{Life, 0, 4, true, false, {"quotes"}, {}};
+    DirectoryPage page{LogLife, 0, 4, true, false, {"quotes"}, {}};
     CHECK(balancer.take(Start, page) == PageResult::Applied);
     page.after = 4;
     page.upTo = 6;
@@ -308,23 +308,23 @@
     page.after = 0;
     CHECK(balancer.take(Start, page) == PageResult::Completed);
     page.after = 6;
-    page.life = Life + 1;
+    page.life = LogLife + 1;
     CHECK(balancer.take(Start, page) == PageResult::Gap);
     page.upTo = 3;
     CHECK(balancer.take(Start, page) == PageResult::Malformed);
-    page = {Life, 0, 4, true, true, {"quotes"}, {ListedTarget{}}};
+    page = {LogLife, 0, 4, true, true, {"quotes"}, {ListedTarget{}}};
     page.targets[0].service = 1;
     CHECK(balancer.take(Start, page) == PageResult::Malformed);
     page.life = 0;
     CHECK(balancer.take(Start, page) == PageResult::Malformed);
 }
 
-TEST_CASE("an older list of another replica undoes no drain, and its word on who lives waits until it is the source")
+TEST_CASE("an older directory of another replica undoes no drain, and its liveness applies only once it is the source")
 {
     Balancer balancer;
     Replica current;
-    Replica stale(Life + 1);
-    WaitingLinks links;
+    Replica stale(LogLife + 1);
+    QueuedLinks links;
     for (std::uint64_t key = 1; key <= 10; ++key) {
         stale.announce(Start, targetOf(key));
         current.announce(Start, targetOf(key));
@@ -336,7 +336,7 @@
     current.publisher.publish(Start, true, links);
     balancer.drain(Start, links);
     balancer.targets.setSource(Near);
-    // All of the other one's targets are silent by now.
+    // All targets of the other replica are silent by now.
     stale.tick(Start + seconds(9));
     stale.publisher.follow(6, {});
     stale.publisher.publish(Start + seconds(9), true, links);
@@ -349,21 +349,21 @@
     CHECK(balancer.follower.request(Near).life == 0);
 }
 
-TEST_CASE("through loss of links, restarts, forgetting and slow links a follower ends alike with its directory")
+TEST_CASE("a follower converges with its directory through lost links, restarts, removals and slow links")
 {
     constexpr int Runs = 60;
     constexpr int Steps = 400;
     constexpr std::uint64_t Places = 300;
     for (int run = 0; run < Runs; ++run) {
         std::mt19937 random(static_cast<std::uint32_t>(run));
-        const auto lot = [&random](std::uint64_t below) {
+        const auto randomBelow = [&random](std::uint64_t below) {
             return std::uniform_int_distribution<std::uint64_t>(0, below - 1)(random);
         };
-        std::uint64_t life = Life;
+        std::uint64_t life = LogLife;
         auto replica = std::make_unique<Replica>(life);
         Balancer balancer;
         balancer.targets.setSource(Near);
-        WaitingLinks links;
+        QueuedLinks links;
         FollowerId link = 1;
         TimePoint now = Start;
         std::uint64_t sequence = 1;
@@ -377,11 +377,11 @@
         };
         connect();
         for (int step = 0; step < Steps; ++step) {
-            now += milliseconds(50 + lot(200));
-            // A target drains, ends, and then another lifetime takes its place.
-            const std::uint64_t place = lot(Places);
+            now += milliseconds(50 + randomBelow(200));
+            // A target drains or ends, and a new one follows at its position.
+            const std::uint64_t place = randomBelow(Places);
             TargetRecord record = targetOf(1 + place + Places * lifetimes[place], ++sequence);
-            phases[place] = static_cast<TargetPhase>(std::max<std::uint64_t>(value(phases[place]), lot(20) == 0 ? 1 + lot(2) : 0));
+            phases[place] = static_cast<TargetPhase>(std::max<std::uint64_t>(value(phases[place]), randomBelow(20) == 0 ? 1 + randomBelow(2) : 0));
             record.phase = phases[place];
             replica->announce(now, record);
             if (record.phase == TargetPhase::Left) {
@@ -389,30 +389,30 @@
                 ++lifetimes[place];
             }
             replica->tick(now);
-            if (lot(30) == 0) {
+            if (randomBelow(30) == 0) {
                 connect();
             }
-            if (lot(100) == 0) {
+            if (randomBelow(100) == 0) {
                 replica = std::make_unique<Replica>(++life);
                 connect();
             }
-            if (lot(60) == 0) {
-                now += LeftTargetRetention; // All that left is forgotten, and what is silent soon.
+            if (randomBelow(60) == 0) {
+                now += LeftTargetRetention; // All targets that left are removed, and silent ones soon after.
             }
-            replica->publisher.publish(now, lot(10) != 0, links);
-            for (std::uint64_t i = lot(3); i > 0; --i) {
+            replica->publisher.publish(now, randomBelow(10) != 0, links);
+            for (std::uint64_t i = randomBelow(3); i > 0; --i) {
                 if (const std::optional<DirectoryPage> page = links.take(link)) {
                     REQUIRE(balancer.take(now, *page) <= PageResult::Completed);
                 }
             }
         }
-        // The links are well again; three rounds carry more than the whole directory.
+        // The links work again; three rounds carry more than the whole directory.
         for (int round = 0; round < 3; ++round) {
             now += PageLifetime;
             replica->publisher.publish(now, true, links);
             balancer.drain(now, links, link);
         }
-        checkAlike(balancer, replica->directory, now);
+        checkMatches(balancer, replica->directory, now);
         for (std::uint64_t place = 0; place < Places; ++place) {
             for (std::uint64_t lifetime = 0; lifetime <= lifetimes[place]; ++lifetime) {
                 const std::uint64_t key = 1 + place + Places * lifetime;
--- a/tests/test_directory_digest.cpp
+++ b/tests/test_directory_digest.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Directory digest: replicas that link up end with the same targets, and what both have is not sent.
+// Directory digest: replicas that connect converge to the same targets without sending those that both have.
 #include "directory_answers.h"
 #include "directory_reconciler.h"
 
@@ -17,7 +17,7 @@
 namespace {
 
 const TimePoint Start(std::chrono::hours(1));
-constexpr Duration Turn = milliseconds(25);
+constexpr Duration TickInterval = milliseconds(25);
 
 TargetRecord targetOf(std::uint64_t key, std::uint64_t born = 1)
 {
@@ -32,7 +32,7 @@
     return record;
 }
 
-// A replica's links to others; what is sent arrives in the next turn.
+// A replica's links to others; messages arrive in the next tick.
 struct PeerLinks {
     std::map<ReplicaLinkId, std::deque<Bytes>> queues; // Towards the peer, by link.
     std::uint64_t records = 0;
@@ -62,13 +62,13 @@
 struct Replica {
     TargetDirectory directory{milliseconds(770), seconds(3)};
     DirectoryReconciler reconciler{directory};
-    DirectoryResponder answers{directory};
+    DirectoryResponder responder{directory};
     PeerLinks links;
-    bool knowsAll = true;
+    bool startsInformed = true;
 
     bool informed() const
     {
-        return knowsAll || reconciler.informed();
+        return startsInformed || reconciler.informed();
     }
 
     void take(TimePoint now, const TargetRecord &record)
@@ -77,7 +77,7 @@
     }
 };
 
-// Replicas that are linked with each other, each pair by one link.
+// Replicas with one link between each pair.
 struct Cluster {
     explicit Cluster(std::size_t size)
         : replicas(size)
@@ -87,7 +87,7 @@
     std::vector<Replica> replicas;
     TimePoint now = Start;
 
-    // The link between two replicas is called by the number of the other one.
+    // A replica identifies a link by the index of the replica at the other end.
     void linkUp(std::size_t one, std::size_t other)
     {
         for (const auto &[from, to] : {std::pair(one, other), std::pair(other, one)}) {
@@ -100,7 +100,7 @@
         for (const auto &[from, to] : {std::pair(one, other), std::pair(other, one)}) {
             replicas[from].links.queues.erase(to);
             replicas[from].reconciler.closed(to);
-            replicas[from].answers.closed(to);
+            replicas[from].responder.closed(to);
         }
     }
 
@@ -118,9 +118,9 @@
         replicas[from].links.sendEncoded(to, encodeMessage(message));
     }
 
-    void turn()
+    void tick()
     {
-        now += Turn;
+        now += TickInterval;
         for (std::size_t from = 0; from < replicas.size(); ++from) {
             for (auto &[to, queue] : std::exchange(replicas[from].links.queues, {})) {
                 for (const Bytes &message : queue) {
@@ -130,10 +130,10 @@
         }
         for (std::size_t self = 0; self < replicas.size(); ++self) {
             Replica &replica = replicas[self];
-            if (const auto question = replica.reconciler.ask(now)) {
-                send(self, question->link, question->compare);
+            if (const auto request = replica.reconciler.nextComparison(now)) {
+                send(self, request->link, request->compare);
             }
-            replica.answers.turn(now, replica.informed(), replica.links);
+            replica.responder.sendDue(now, replica.informed(), replica.links);
         }
     }
 
@@ -142,8 +142,8 @@
         Replica &replica = replicas[to];
         if (const auto *digest = std::get_if<DirectoryDigest>(&message)) {
             REQUIRE(digest->isValid());
-            if (const auto question = replica.reconciler.digest(now, from, *digest)) {
-                send(to, from, *question);
+            if (const auto request = replica.reconciler.onDigest(now, from, *digest)) {
+                send(to, from, *request);
             }
         } else if (const auto *compare = std::get_if<DirectoryCompare>(&message)) {
             REQUIRE(compare->isValid());
@@ -154,21 +154,21 @@
             send(to, from, answer);
         } else if (const auto *query = std::get_if<DirectoryQuery>(&message)) {
             REQUIRE(query->isValid());
-            replica.answers.begin(from, *query);
+            replica.responder.begin(from, *query);
         } else if (const auto *list = std::get_if<TargetStatusList>(&message)) {
-            replica.reconciler.progressed(now, from);
+            replica.reconciler.onProgress(now, from);
             for (const TargetStatus &news : list->news) {
                 replica.directory.take(now, news);
             }
         } else if (const auto *answer = std::get_if<DirectoryQueryDone>(&message)) {
-            replica.reconciler.answered(from, *answer);
+            replica.reconciler.onQueryDone(from, *answer);
         }
     }
 
-    void turns(int count)
+    void runTicks(int count)
     {
         for (int i = 0; i < count; ++i) {
-            turn();
+            tick();
         }
     }
 
@@ -181,7 +181,7 @@
         return sum;
     }
 
-    bool alike() const
+    bool converged() const
     {
         const std::vector<std::uint32_t> first = replicas.front().directory.digest(MinDigestBuckets);
         return std::all_of(replicas.begin(), replicas.end(), [&first](const Replica &replica) {
@@ -192,7 +192,7 @@
 
 } // namespace
 
-TEST_CASE("a digest tells lifetimes and phases apart, and not what each announcement changes")
+TEST_CASE("a digest depends on lifetime, phase, address, slots and service, not on fields that change with each announcement")
 {
     TargetRecord record = targetOf(5);
     const std::uint32_t hash = digestOf(record);
@@ -225,14 +225,14 @@
     }
 }
 
-TEST_CASE("a digest of a number of parts that no replica sends is refused, and so is a question beyond its parts")
+TEST_CASE("a digest with an invalid number of buckets is rejected, and so is a query for buckets out of range")
 {
     for (const std::uint32_t size : {1U, 8U, 17U, 100U, 32768U}) {
         CHECK_FALSE(DirectoryDigest{true, std::vector<std::uint32_t>(size)}.isValid());
         CHECK_FALSE(DirectoryCompare{size, 1}.isValid());
     }
     CHECK_FALSE(DirectoryCompare{0, 1}.isValid());
-    CHECK(DirectoryDigest{true, {}}.isValid()); // The directories are the same.
+    CHECK(DirectoryDigest{true, {}}.isValid()); // The directories are identical.
     CHECK(DirectoryDigest{true, std::vector<std::uint32_t>(MaxDigestBuckets)}.isValid());
     CHECK(DirectoryQuery{16, {0, 15}}.isValid());
     CHECK_FALSE(DirectoryQuery{16, {16}}.isValid());
@@ -243,7 +243,7 @@
     }
 }
 
-TEST_CASE("replicas that restart with the same targets send none of them, however many replicas there are")
+TEST_CASE("replicas that restart with the same targets send no records, whatever the number of replicas")
 {
     for (const std::size_t size : {5U, 10U, 20U}) {
         Cluster cluster(size);
@@ -253,16 +253,16 @@
             }
         }
         cluster.linkAll();
-        cluster.turns(static_cast<int>(4 * size));
+        cluster.runTicks(static_cast<int>(4 * size));
         CHECK(cluster.records() == 0);
-        constexpr std::uint64_t WordBytes = 40; // To say that directories are the same takes a question and an answer.
+        constexpr std::uint64_t MessageBytes = 40; // Identical directories take one request and one answer.
         for (const Replica &replica : cluster.replicas) {
-            CHECK(replica.links.bytes <= 2 * size * WordBytes);
+            CHECK(replica.links.bytes <= 2 * size * MessageBytes);
         }
     }
 }
 
-TEST_CASE("a replica with an empty disk gets each target once, however many replicas it is linked with")
+TEST_CASE("a replica with an empty disk receives each target once, whatever the number of linked replicas")
 {
     constexpr std::uint64_t Targets = 2000;
     for (const std::size_t size : {5U, 10U, 25U}) {
@@ -272,16 +272,16 @@
                 cluster.replicas[i].take(Start, targetOf(key));
             }
         }
-        cluster.replicas[0].knowsAll = false;
+        cluster.replicas[0].startsInformed = false;
         cluster.linkAll();
-        cluster.turns(160);
+        cluster.runTicks(160);
         CHECK(cluster.replicas[0].directory.size() == Targets);
         CHECK(cluster.replicas[0].informed());
         CHECK(cluster.records() == Targets);
     }
 }
 
-TEST_CASE("replicas find the few targets that differ, and send little else")
+TEST_CASE("replicas find the few targets that differ, and send few others")
 {
     constexpr std::uint64_t Targets = 4000;
     Cluster cluster(2);
@@ -293,11 +293,11 @@
     TargetRecord left = targetOf(77);
     left.phase = TargetPhase::Left;
     cluster.replicas[0].take(Start, left);
-    cluster.replicas[1].take(Start, targetOf(78, 2)); // Started again.
+    cluster.replicas[1].take(Start, targetOf(78, 2)); // Restarted.
     cluster.replicas[1].take(Start, targetOf(Targets + 1));
     cluster.linkAll();
-    cluster.turns(20);
-    CHECK(cluster.alike());
+    cluster.runTicks(20);
+    CHECK(cluster.converged());
     for (const Replica &replica : cluster.replicas) {
         CHECK(replica.directory.find(TargetKey{77})->phase == TargetPhase::Left);
         CHECK(replica.directory.find(TargetKey{78})->born == 2);
@@ -307,63 +307,63 @@
     CHECK(cluster.records() <= Differences * 2 * 4 * TargetsPerBucket);
 }
 
-TEST_CASE("a replica that was asked and falls silent keeps no other from being asked")
+TEST_CASE("a queried replica that goes silent does not block queries to the others")
 {
     Cluster cluster(3);
     for (std::size_t i = 1; i < 3; ++i) {
         cluster.replicas[i].take(Start, targetOf(1));
         cluster.replicas[i].take(Start, targetOf(1 + i));
     }
-    DirectoryReconciler &asker = cluster.replicas[0].reconciler;
+    DirectoryReconciler &reconciler = cluster.replicas[0].reconciler;
     const auto digestOfPeer = [&cluster](ReplicaLinkId link, std::size_t buckets) {
         return DirectoryDigest{true, cluster.replicas[link].directory.digest(buckets)};
     };
-    asker.linked(ReplicaId{1}, 1);
-    asker.linked(ReplicaId{2}, 2);
-    const auto first = asker.ask(Start);
+    reconciler.linked(ReplicaId{1}, 1);
+    reconciler.linked(ReplicaId{2}, 2);
+    const auto first = reconciler.nextComparison(Start);
     REQUIRE(first);
-    CHECK_FALSE(asker.ask(Start + ReconcileTimeout - Turn));
-    CHECK(asker.digest(Start + ReconcileTimeout - Turn, first->link, digestOfPeer(first->link, first->compare.buckets)));
-    CHECK_FALSE(asker.ask(Start + ReconcileTimeout));
-    asker.progressed(Start + ReconcileTimeout, first->link);
-    CHECK_FALSE(asker.ask(Start + 2 * ReconcileTimeout - Turn));
-    const auto second = asker.ask(Start + 2 * ReconcileTimeout);
+    CHECK_FALSE(reconciler.nextComparison(Start + ReconcileTimeout - TickInterval));
+    CHECK(reconciler.onDigest(Start + ReconcileTimeout - TickInterval, first->link, digestOfPeer(first->link, first->compare.buckets)));
+    CHECK_FALSE(reconciler.nextComparison(Start + ReconcileTimeout));
+    reconciler.onProgress(Start + ReconcileTimeout, first->link);
+    CHECK_FALSE(reconciler.nextComparison(Start + 2 * ReconcileTimeout - TickInterval));
+    const auto second = reconciler.nextComparison(Start + 2 * ReconcileTimeout);
     REQUIRE(second);
     CHECK(second->link != first->link);
-    // What the first one still sends is no answer to the second question.
-    CHECK_FALSE(asker.digest(Start, first->link, digestOfPeer(first->link, first->compare.buckets)));
-    asker.answered(first->link, {true});
-    CHECK_FALSE(asker.informed());
-    asker.closed(second->link);
-    const auto again = asker.ask(Start + 2 * ReconcileTimeout);
+    // Late answers of the first replica are not taken for answers of the second one.
+    CHECK_FALSE(reconciler.onDigest(Start, first->link, digestOfPeer(first->link, first->compare.buckets)));
+    reconciler.onQueryDone(first->link, {true});
+    CHECK_FALSE(reconciler.informed());
+    reconciler.closed(second->link);
+    const auto again = reconciler.nextComparison(Start + 2 * ReconcileTimeout);
     REQUIRE(again);
     CHECK(again->link == first->link);
-    asker.answered(again->link, {true});
-    CHECK(asker.informed());
+    reconciler.onQueryDone(again->link, {true});
+    CHECK(reconciler.informed());
 }
 
-// Targets announce themselves by the thousand just when replicas link up, and each is told of on all links that are up.
-TEST_CASE("while targets come up replicas ask each other for no more than what came within a question and its answer")
+// Thousands of targets announce themselves while the replicas connect, and each is also sent on all established links.
+TEST_CASE("while targets start, replicas query each other for no more than what arrived between a request and its answer")
 {
     constexpr std::size_t Size = 10;
     constexpr std::uint64_t Targets = 2000;
-    constexpr std::uint64_t TargetsPerTurn = 20;
+    constexpr std::uint64_t TargetsPerTick = 20;
     Cluster cluster(Size);
     cluster.linkAll();
     for (std::uint64_t key = 1; key <= Targets; ++key) {
         for (Replica &replica : cluster.replicas) {
             replica.take(cluster.now, targetOf(key));
         }
-        if (key % TargetsPerTurn == 0) {
-            cluster.turn();
+        if (key % TargetsPerTick == 0) {
+            cluster.tick();
         }
     }
-    cluster.turns(100);
-    CHECK(cluster.alike());
-    CHECK(cluster.records() <= Size * (Size - 1) * 2 * TargetsPerTurn * 2 * TargetsPerBucket);
+    cluster.runTicks(100);
+    CHECK(cluster.converged());
+    CHECK(cluster.records() <= Size * (Size - 1) * 2 * TargetsPerTick * 2 * TargetsPerBucket);
 }
 
-TEST_CASE("through losses of links and changes replicas end alike once their links stay up")
+TEST_CASE("replicas converge after lost links and changes once their links stay up")
 {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         pcg64 random(seed);
@@ -384,9 +384,9 @@
                     cluster.linkUp(one, other);
                 }
             }
-            cluster.turns(static_cast<int>(random() % 3));
+            cluster.runTicks(static_cast<int>(random() % 3));
         }
-        // One round passes on what is known to some; a second one what came with the first.
+        // The first round spreads what some replicas know, and the second one what arrived during the first.
         for (int round = 0; round < 2; ++round) {
             for (std::size_t one = 0; one < cluster.replicas.size(); ++one) {
                 for (std::size_t other = one + 1; other < cluster.replicas.size(); ++other) {
@@ -394,8 +394,8 @@
                     cluster.linkUp(one, other);
                 }
             }
-            cluster.turns(40);
+            cluster.runTicks(40);
         }
-        CHECK_MESSAGE(cluster.alike(), "seed ", seed);
+        CHECK_MESSAGE(cluster.converged(), "seed ", seed);
     }
 }
--- a/tests/test_heard_targets.cpp
+++ b/tests/test_heard_targets.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Heard targets: a replica's word on the targets that it hears, told by differences and renewed by beats.
+// Target leases: a replica's leases on targets, sent as differences and renewed by heartbeats.
 #include "heard_targets.h"
 #include "node_message.h"
 #include "target_directory.h"
@@ -15,8 +15,8 @@
 
 const TimePoint Start(std::chrono::hours(1));
 constexpr Duration Interval = milliseconds(770);
-constexpr Duration Lease = Interval * 3 / 2;
-constexpr Duration Beat = milliseconds(500);
+constexpr Duration LeaseDuration = Interval * 3 / 2;
+constexpr Duration HeartbeatInterval = milliseconds(500);
 constexpr Duration SilenceLimit = 2 * Interval + milliseconds(1200);
 constexpr std::uint64_t OnlyLink = 4;
 
@@ -32,77 +32,77 @@
 
 } // namespace
 
-TEST_CASE("a replica names each target that it hears once, and once that it was missed")
+TEST_CASE("a replica sends each lease once when it is added and once when it expires")
 {
-    LocalTargetLeases here(Lease);
-    here.heard(Start, TargetKey{1});
-    here.heard(Start, TargetKey{2});
-    CHECK(here.whole().heard.empty()); // Nothing was told yet; the next beat names them on all links.
-    CHECK(here.changes(Start).heard == std::vector{TargetKey{1}, TargetKey{2}});
-    here.heard(Start + Interval, TargetKey{1});
-    const TargetLeaseUpdate calm = here.changes(Start + Lease - milliseconds(1));
-    CHECK(calm.heard.empty());
-    CHECK(calm.missed.empty());
-    const TargetLeaseUpdate late = here.changes(Start + Lease);
-    REQUIRE(late.missed.size() == 1);
-    CHECK(late.missed[0].key == TargetKey{2});
-    CHECK(late.missed[0].age == Lease);
-    CHECK(here.whole().heard == std::vector{TargetKey{1}});
-    CHECK(here.holdsLease(TargetKey{1}));
-    CHECK_FALSE(here.holdsLease(TargetKey{2}));
-    here.heard(Start + Lease, TargetKey{2});
-    CHECK(here.changes(Start + Lease).heard == std::vector{TargetKey{2}});
+    LocalTargetLeases leases(LeaseDuration);
+    leases.renew(Start, TargetKey{1});
+    leases.renew(Start, TargetKey{2});
+    CHECK(leases.snapshot().added.empty()); // Not sent yet; the next heartbeat adds them on all links.
+    CHECK(leases.takeChanges(Start).added == std::vector{TargetKey{1}, TargetKey{2}});
+    leases.renew(Start + Interval, TargetKey{1});
+    const TargetLeaseUpdate unchanged = leases.takeChanges(Start + LeaseDuration - milliseconds(1));
+    CHECK(unchanged.added.empty());
+    CHECK(unchanged.expired.empty());
+    const TargetLeaseUpdate late = leases.takeChanges(Start + LeaseDuration);
+    REQUIRE(late.expired.size() == 1);
+    CHECK(late.expired[0].key == TargetKey{2});
+    CHECK(late.expired[0].age == LeaseDuration);
+    CHECK(leases.snapshot().added == std::vector{TargetKey{1}});
+    CHECK(leases.holdsLease(TargetKey{1}));
+    CHECK_FALSE(leases.holdsLease(TargetKey{2}));
+    leases.renew(Start + LeaseDuration, TargetKey{2});
+    CHECK(leases.takeChanges(Start + LeaseDuration).added == std::vector{TargetKey{2}});
 }
 
-TEST_CASE("a target that came and went between two beats is never named")
+TEST_CASE("a lease that is added and expires between two heartbeats is never sent")
 {
-    LocalTargetLeases here(Lease);
-    here.heard(Start, TargetKey{1});
-    const TargetLeaseUpdate beat = here.changes(Start + Lease);
-    CHECK(beat.heard.empty());
-    CHECK(beat.missed.empty());
+    LocalTargetLeases leases(LeaseDuration);
+    leases.renew(Start, TargetKey{1});
+    const TargetLeaseUpdate heartbeat = leases.takeChanges(Start + LeaseDuration);
+    CHECK(heartbeat.added.empty());
+    CHECK(heartbeat.expired.empty());
 }
 
-TEST_CASE("a beat renews all that was named on its link, and a lost link ends that word")
+TEST_CASE("a heartbeat renews all leases of its link, and a lost link ends them")
 {
-    PeerTargetLeases elsewhere;
-    elsewhere.take(1, {{TargetKey{5}, TargetKey{3}}, {}});
-    CHECK(elsewhere.take(1, {}).size() == 2);
-    CHECK(elsewhere.take(2, {{TargetKey{3}}, {}}).size() == 1);
-    CHECK(elsewhere.take(1, {{TargetKey{3}}, {}}).size() == 2);
-    CHECK(elsewhere.take(1, {{}, {{TargetKey{3}, Lease}, {TargetKey{9}, Lease}}}).size() == 1);
-    CHECK(elsewhere.holdsLease(TargetKey{3})); // The other replica still hears it.
-    elsewhere.closed(2);
-    CHECK_FALSE(elsewhere.holdsLease(TargetKey{3}));
-    CHECK(elsewhere.holdsLease(TargetKey{5}));
+    PeerTargetLeases peerLeases;
+    peerLeases.apply(1, {{TargetKey{5}, TargetKey{3}}, {}});
+    CHECK(peerLeases.apply(1, {}).size() == 2);
+    CHECK(peerLeases.apply(2, {{TargetKey{3}}, {}}).size() == 1);
+    CHECK(peerLeases.apply(1, {{TargetKey{3}}, {}}).size() == 2);
+    CHECK(peerLeases.apply(1, {{}, {{TargetKey{3}, LeaseDuration}, {TargetKey{9}, LeaseDuration}}}).size() == 1);
+    CHECK(peerLeases.holdsLease(TargetKey{3})); // The other replica still holds a lease.
+    peerLeases.closed(2);
+    CHECK_FALSE(peerLeases.holdsLease(TargetKey{3}));
+    CHECK(peerLeases.holdsLease(TargetKey{5}));
 }
 
-// Thousands of targets announce themselves at one of many replicas, and nothing happens.
-TEST_CASE("a calm beat costs as much for a thousand targets as for ten")
+// With thousands of targets and no changes, the cost of heartbeats must not grow with the number of targets.
+TEST_CASE("a heartbeat without changes has the same size for a thousand targets as for ten")
 {
-    const auto beatBytes = [](std::uint64_t targets) {
-        LocalTargetLeases here(Lease);
+    const auto heartbeatBytes = [](std::uint64_t targets) {
+        LocalTargetLeases leases(LeaseDuration);
         const auto announce = [&](TimePoint now) {
             for (std::uint64_t key = 1; key <= targets; ++key) {
-                here.heard(now, TargetKey{key << 24U});
+                leases.renew(now, TargetKey{key << 24U});
             }
         };
         announce(Start);
-        here.changes(Start);
+        leases.takeChanges(Start);
         announce(Start + Interval);
-        return encodeMessage(NodeMessage(here.changes(Start + Interval))).size();
+        return encodeMessage(NodeMessage(leases.takeChanges(Start + Interval))).size();
     };
-    CHECK(beatBytes(10) == beatBytes(1000));
+    CHECK(heartbeatBytes(10) == heartbeatBytes(1000));
 }
 
-TEST_CASE("a silent target is found elsewhere as soon as by its own announcements, and a living one never is")
+TEST_CASE("a silent target is detected through leases as soon as through its own announcements, and a live one never is")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         pcg64 random(seed);
         constexpr std::uint64_t Targets = 40;
         TargetDirectory directory(Interval, SilenceLimit);
-        LocalTargetLeases here(Lease);
-        PeerTargetLeases elsewhere;
+        LocalTargetLeases leases(LeaseDuration);
+        PeerTargetLeases peerLeases;
         std::vector<TimePoint> due(Targets);
         std::vector<TimePoint> last(Targets, Start);
         std::vector<TimePoint> ends(Targets, TimePoint::max());
@@ -113,22 +113,22 @@
                 ends[i] = Start + seconds(2) + milliseconds(random() % 3000);
             }
         }
-        TimePoint nextBeat = Start;
+        TimePoint nextHeartbeat = Start;
         std::map<std::uint64_t, TimePoint> found;
         for (TimePoint now = Start; now < Start + seconds(12); now += milliseconds(5)) {
             for (std::uint64_t i = 0; i < Targets; ++i) {
                 if (now >= due[i] && now < ends[i]) {
-                    here.heard(now, TargetKey{i + 1});
+                    leases.renew(now, TargetKey{i + 1});
                     last[i] = now;
                     due[i] = now + Interval + milliseconds(random() % 40);
                 }
             }
-            if (now >= nextBeat) {
-                nextBeat = now + Beat;
-                const TargetLeaseUpdate beat = here.changes(now);
-                directory.heard(now, elsewhere.take(OnlyLink, beat));
-                for (const ExpiredLease &missed : beat.missed) {
-                    directory.missed(now, missed);
+            if (now >= nextHeartbeat) {
+                nextHeartbeat = now + HeartbeatInterval;
+                const TargetLeaseUpdate heartbeat = leases.takeChanges(now);
+                directory.renew(now, peerLeases.apply(OnlyLink, heartbeat));
+                for (const ExpiredLease &expired : heartbeat.expired) {
+                    directory.leaseExpired(now, expired);
                 }
                 for (const TargetStatus &silent : directory.tick(now)) {
                     found.emplace(value(silent.record.key) - 1, now);
@@ -139,7 +139,7 @@
             CHECK(found.contains(i) == (i % 2 == 0));
             if (found.contains(i)) {
                 CHECK(found[i] - last[i] >= SilenceLimit);
-                CHECK(found[i] - last[i] < SilenceLimit + Beat);
+                CHECK(found[i] - last[i] < SilenceLimit + HeartbeatInterval);
             }
         }
     }
--- a/tests/test_target_probe.cpp
+++ b/tests/test_target_probe.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Target probe: flows of targets that lose power are reset before their callers' next requests, and those of
-// targets that live never are.
+// Target probe: flows of targets that lose power are reset before their callers' next requests, and flows of live targets
+// never are.
 #include "flow_steering.h"
 #include "net.h"
 #include "prober_choice.h"
@@ -20,8 +20,8 @@
 constexpr DataCentreId Here{1};
 constexpr ReplicaId FirstReplica{11};
 constexpr ReplicaId SecondReplica{12};
-constexpr ReplicaPlace FirstFinder{FirstReplica, Here};
-constexpr ReplicaPlace SecondFinder{SecondReplica, Here};
+constexpr ReplicaPlace FirstProber{FirstReplica, Here};
+constexpr ReplicaPlace SecondProber{SecondReplica, Here};
 constexpr LossTolerance OneReplica{1, 0};
 constexpr Endpoint FeedRoute{0xc6120001, 443};
 constexpr TargetKey Silent{101};
@@ -45,7 +45,7 @@
     return {key, {}, false};
 }
 
-// A balancer with two targets, and callers with long flows to them.
+// A balancer with two targets and callers with long-lived flows to them.
 struct Balancer {
     FlowSteering steering{Here};
     TimePoint now = Start;
@@ -90,7 +90,7 @@
 
 } // namespace
 
-TEST_CASE("idle flows of a target that lost power are reset once, those of others are not")
+TEST_CASE("idle flows of a target that lost power are reset once, and flows of other targets are not")
 {
     Balancer balancer;
     for (std::uint32_t caller = 1; caller <= 20; ++caller) {
@@ -122,7 +122,7 @@
     CHECK(balancer.steering.takeResets().empty());
 }
 
-TEST_CASE("a target that shows life while its flows are being reset keeps those that are left")
+TEST_CASE("a target that shows a sign of life while its flows are being reset keeps the remaining ones")
 {
     Balancer balancer;
     for (std::uint32_t caller = 1; caller <= MaxResetsPerTick + 10; ++caller) {
@@ -135,7 +135,7 @@
     CHECK(balancer.steering.takeResets().empty());
 }
 
-TEST_CASE("a target that showed life through this balancer of late is not taken for gone")
+TEST_CASE("a target with a recent sign of life through this balancer is not taken for gone")
 {
     Balancer balancer;
     balancer.request(1, Silent, 100, 1);
@@ -149,7 +149,7 @@
     CHECK_FALSE(balancer.steering.targets().takeForGone(balancer.now, TargetKey{999}));
 }
 
-TEST_CASE("only repeated data on an open flow is reported, each time that it shows no sign of life since")
+TEST_CASE("retransmitted data on an open flow is reported each time, unless there was a sign of life since")
 {
     Balancer balancer;
     balancer.request(1, Silent, 100, 1);
@@ -157,7 +157,7 @@
     balancer.now += milliseconds(200);
     balancer.request(1, Silent, 100, 1);
     CHECK(balancer.steering.takeUnanswered() == std::vector<TargetKey>{Silent});
-    // What a newer flow acknowledges is a sign of life, which the older request does not speak against.
+    // An acknowledgement on a newer flow is a sign of life, which the older unanswered request does not contradict.
     balancer.acknowledge(2, Silent, 50);
     balancer.now += milliseconds(400);
     balancer.request(1, Silent, 100, 1);
@@ -166,7 +166,7 @@
         balancer.request(2, Silent, 100, 1);
     }
     CHECK(balancer.steering.takeUnanswered().size() == MaxReportsPerTick);
-    // Copies of an opening packet say nothing: a target that is full keeps silent on them.
+    // Copies of an opening packet are not evidence: an overloaded target does not answer them.
     Balancer full;
     FlowPacket opening = Balancer::packet(1, Silent, 0, 0);
     opening.opening = true;
@@ -182,7 +182,7 @@
 {
     Balancer balancer;
     balancer.now += RecentActivityWindow;
-    balancer.request(1, Silent, 100, 1); // Sent and repeated through a balancer that is no more.
+    balancer.request(1, Silent, 100, 1); // Sent and retransmitted through a balancer that has failed.
     CHECK(balancer.steering.targets().takeForGone(balancer.now, Silent));
     Balancer other;
     other.now += RecentActivityWindow;
@@ -193,9 +193,9 @@
     CHECK_FALSE(other.steering.targets().takeForGone(other.now, decision.target));
 }
 
-// Half a deployment's balancers go down together with their data centre's targets and come back first: all flows of these
-// are new to the balancers when the replicas find the targets gone.
-TEST_CASE("data of a flow that is new here is reset while its target counts as gone, and is handed on once that shows life")
+// Half of the balancers fail together with the targets of their data centre and return first: the flows of these targets
+// are unknown to the balancers when the replicas find the targets gone.
+TEST_CASE("data of an unknown flow is reset while its target counts as gone, and forwarded once the target shows a sign of life")
 {
     Balancer balancer;
     balancer.now += seconds(1);
@@ -209,12 +209,12 @@
     CHECK(balancer.request(2, Living, 100, 1).action == SteeringAction::Forward);
     balancer.acknowledge(3, Silent, 50);
     CHECK(balancer.request(4, Silent, 100, 1).action == SteeringAction::Forward);
-    // The verdict does not outlive its evidence.
+    // The target counts as gone only for a limited time.
     balancer.now += seconds(1);
     REQUIRE(balancer.steering.targets().takeForGone(balancer.now, Silent));
     balancer.now += GoneMemory;
     CHECK(balancer.request(5, Silent, 100, 1).action == SteeringAction::Forward);
-    // Nor does it hold against a replica that heard the target since.
+    // It no longer counts as gone once a replica has received an announcement.
     balancer.now += seconds(1);
     REQUIRE(balancer.steering.targets().takeForGone(balancer.now, Silent));
     TargetRecord heard = feedTarget(Silent);
@@ -225,25 +225,25 @@
 
 TEST_CASE("a target is gone when enough different replicas find it unreachable at the same time")
 {
-    ProbeResults findings(OneReplica);
-    CHECK_FALSE(findings.unreachable(Start, FirstFinder, Silent));
-    CHECK_FALSE(findings.unreachable(Start, FirstFinder, Silent));
-    CHECK_FALSE(findings.unreachable(Start, SecondFinder, Living));
-    CHECK(findings.unreachable(Start + ProbeResultLifetime - milliseconds(1), SecondFinder, Silent));
-    // What was found long ago says nothing.
+    ProbeResults results(OneReplica);
+    CHECK_FALSE(results.unreachable(Start, FirstProber, Silent));
+    CHECK_FALSE(results.unreachable(Start, FirstProber, Silent));
+    CHECK_FALSE(results.unreachable(Start, SecondProber, Living));
+    CHECK(results.unreachable(Start + ProbeResultLifetime - milliseconds(1), SecondProber, Silent));
+    // Results that have expired do not count.
     ProbeResults old(OneReplica);
-    old.unreachable(Start, FirstFinder, Silent);
-    CHECK_FALSE(old.unreachable(Start + ProbeResultLifetime, SecondFinder, Silent));
+    old.unreachable(Start, FirstProber, Silent);
+    CHECK_FALSE(old.unreachable(Start + ProbeResultLifetime, SecondProber, Silent));
 }
 
-TEST_CASE("floods of findings and of reports take bounded memory and probes")
+TEST_CASE("floods of probe results and reports use bounded memory and probes")
 {
-    ProbeResults findings(OneReplica);
+    ProbeResults results(OneReplica);
     for (std::uint64_t key = 1; key <= 2 * MaxTargetProbes; ++key) {
-        findings.unreachable(Start, FirstFinder, TargetKey{key});
+        results.unreachable(Start, FirstProber, TargetKey{key});
     }
-    CHECK(findings.unreachable(Start, SecondFinder, TargetKey{1}));
-    CHECK_FALSE(findings.unreachable(Start, SecondFinder, TargetKey{2 * MaxTargetProbes}));
+    CHECK(results.unreachable(Start, SecondProber, TargetKey{1}));
+    CHECK_FALSE(results.unreachable(Start, SecondProber, TargetKey{2 * MaxTargetProbes}));
     ProbeSchedule schedule;
     std::size_t begun = 0;
     for (std::uint64_t key = 1; key <= 2 * MaxTargetProbes; ++key) {
@@ -252,14 +252,14 @@
         CHECK_FALSE(schedule.reported(Start, reported(TargetKey{key})));
     }
     CHECK(begun == MaxTargetProbes);
-    // A probe that is under way is not begun again, however long it takes; one that ended is after the pause.
+    // A probe in progress is not started again, however long it takes; one that ended is, after the minimum interval.
     CHECK_FALSE(schedule.reported(Start + seconds(9), reported(TargetKey{1})));
     schedule.ended(TargetKey{1});
     CHECK_FALSE(schedule.reported(Start + seconds(9), reported(TargetKey{1})));
     CHECK(schedule.reported(Start + seconds(9), reported(TargetKey{1})));
 }
 
-TEST_CASE("packets lost here and there set off no probe, reports that come together do")
+TEST_CASE("isolated lost packets trigger no probe, reports within a short time do")
 {
     ProbeSchedule schedule;
     for (int i = 0; i < 20; ++i) {
@@ -269,7 +269,7 @@
     CHECK(schedule.reported(Start + MinProbeInterval - milliseconds(1), reported(Silent)));
 }
 
-TEST_CASE("one report is enough of a target that missed its turn to announce itself")
+TEST_CASE("one report is enough for a target whose announcement is overdue")
 {
     ProbeSchedule schedule;
     CHECK(schedule.reported(Start, {Silent, {}, true}));
@@ -278,20 +278,20 @@
     CHECK(schedule.reported(Start + MinProbeInterval, {Silent, {}, true}));
 }
 
-TEST_CASE("what all replicas of one data centre find does not make a target gone, as they are cut off together")
+TEST_CASE("results from all replicas of one data centre do not make a target gone, because they lose connectivity together")
 {
-    ProbeResults findings(LossTolerance{2, 1});
+    ProbeResults results(LossTolerance{2, 1});
     for (std::uint32_t replica = 1; replica <= 5; ++replica) {
-        CHECK_FALSE(findings.unreachable(Start, {ReplicaId{replica}, Here}, Silent));
+        CHECK_FALSE(results.unreachable(Start, {ReplicaId{replica}, Here}, Silent));
     }
-    CHECK(findings.unreachable(Start, {ReplicaId{6}, DataCentreId{2}}, Silent));
+    CHECK(results.unreachable(Start, {ReplicaId{6}, DataCentreId{2}}, Silent));
     ProbeResults few(LossTolerance{2, 1});
     CHECK_FALSE(few.unreachable(Start, {ReplicaId{1}, Here}, Silent));
     CHECK_FALSE(few.unreachable(Start, {ReplicaId{6}, DataCentreId{2}}, Silent));
     CHECK(few.unreachable(Start, {ReplicaId{7}, DataCentreId{2}}, Silent));
 }
 
-// Replicas in data centres of so many each.
+// Replicas in `dataCentres` data centres with `each` replicas per data centre.
 std::vector<ReplicaPlace> replicasIn(std::uint32_t dataCentres, std::uint32_t each)
 {
     std::vector<ReplicaPlace> places;
@@ -301,32 +301,32 @@
     return places;
 }
 
-TEST_CASE("probers of a target are the same few for all who reach them, in different data centres, and spread over the replicas")
+TEST_CASE("probers of a target are the same everywhere, in different data centres, and spread over the replicas")
 {
-    constexpr std::size_t Probers = 5;
+    constexpr std::size_t ProberCount = 5;
     const std::vector<ReplicaPlace> places = replicasIn(5, 5);
     std::vector<ReplicaPlace> reversed(places.rbegin(), places.rend());
     std::map<ReplicaId, int> load;
     constexpr std::uint64_t Targets = 1400;
     for (std::uint64_t key = 1; key <= Targets; ++key) {
-        const std::vector<ReplicaId> chosen = chooseProbers(TargetKey{key}, places, Probers);
-        REQUIRE(chosen.size() == Probers);
-        CHECK(chosen == chooseProbers(TargetKey{key}, reversed, Probers));
-        ReplicaLocations witnesses;
+        const std::vector<ReplicaId> chosen = chooseProbers(TargetKey{key}, places, ProberCount);
+        REQUIRE(chosen.size() == ProberCount);
+        CHECK(chosen == chooseProbers(TargetKey{key}, reversed, ProberCount));
+        ReplicaLocations holders;
         for (const ReplicaId replica : chosen) {
             ++load[replica];
-            witnesses[replica] = DataCentreId(1 + (value(replica) - 100) % 5);
+            holders[replica] = DataCentreId(1 + (value(replica) - 100) % 5);
         }
-        CHECK(LossTolerance{4, 4}.isMetBy(witnesses));
+        CHECK(LossTolerance{4, 4}.isMetBy(holders));
     }
-    constexpr auto Mean = static_cast<int>(Targets * Probers / 25);
+    constexpr auto Mean = static_cast<int>(Targets * ProberCount / 25);
     for (const ReplicaPlace &place : places) {
         CHECK(load[place.replica] > Mean / 2);
         CHECK(load[place.replica] < Mean * 2);
     }
 }
 
-TEST_CASE("where few replicas can be reached all of them probe, and a prober that is lost is replaced alone")
+TEST_CASE("if few replicas can be reached all of them probe, and only a lost prober is replaced")
 {
     CHECK(chooseProbers(Silent, replicasIn(1, 3), 5).size() == 3);
     CHECK(chooseProbers(Silent, {}, 5).empty());
@@ -342,7 +342,7 @@
     CHECK(kept == 4);
 }
 
-// A listening port and one that refuses, and a prober that gets enough reports to try either.
+// A listening port, a refusing port, and a prober that receives enough reports to probe either.
 struct ProbedPorts {
     boost::asio::io_context io;
     boost::asio::ip::tcp::acceptor listening{io, {boost::asio::ip::address_v4::loopback(), 0}};
@@ -364,7 +364,7 @@
     }
 };
 
-TEST_CASE("a replica finds a refusing target unreachable and a listening one not, also when it is too busy to accept")
+TEST_CASE("a refusing target is found unreachable and a listening one is not, even if it does not call accept")
 {
     ProbedPorts ports;
     ports.report(Living, ports.listening.local_endpoint().port());
@@ -376,7 +376,7 @@
     CHECK(ports.prober.takeUnreachable().empty());
 }
 
-TEST_CASE("a replica that stood still during a probe finds nothing")
+TEST_CASE("a replica that was stalled during a probe discards its result")
 {
     ProbedPorts ports;
     ports.report(Living, ports.listening.local_endpoint().port());
@@ -387,9 +387,9 @@
     CHECK(ports.prober.takeUnreachable().empty());
 }
 
-// The pattern: targets that serve flows and take no connections at their address. Each lost packet would make a living
-// one look gone.
-TEST_CASE("a replica whose connections no target ever answered finds nothing")
+// Targets may serve flows without accepting connections at their address. A single lost packet would then make a live
+// target look gone.
+TEST_CASE("a replica whose probes were never answered by any target reports nothing")
 {
     ProbedPorts ports;
     ports.report(Silent, ports.refusingPort);
@@ -398,9 +398,9 @@
     CHECK(ports.prober.takeUnreachable().empty());
 }
 
-// The pattern with everything that may go wrong around it: balancers that are cut off from a target or freeze, replicas
-// that are cut off, packets that are lost, targets that are slow for seconds and live. Time runs in steps of 10 ms.
-TEST_CASE("in random troubles no flow of a target that lives and can be reached is reset")
+// Combines a failed target with a replica that is cut off, lost packets, and a live target that is slow for seconds. Time
+// advances in steps of 10 ms.
+TEST_CASE("under random faults no flow of a live, reachable target is reset")
 {
     constexpr int Runs = 400;
     constexpr int Steps = 400;
@@ -412,15 +412,15 @@
             return random() % 100 < percent;
         };
         Balancer balancer;
-        ProbeResults findings(OneReplica);
-        ProbeSchedule schedule; // Of all replicas, as they get the same reports.
+        ProbeResults results(OneReplica);
+        ProbeSchedule schedule; // Shared by all replicas, as they get the same reports.
         const bool dies = chance(50);
-        const bool oneReplicaErrs = chance(50); // Cut off from the targets, and linked to the balancer.
-        const bool slow = chance(30); // The living target takes seconds, and its kernel answers.
+        const bool oneReplicaIsCutOff = chance(50); // Cut off from the targets, but connected to the balancer.
+        const bool slow = chance(30); // The live target takes seconds to answer, but its kernel accepts connections.
         std::array<std::uint32_t, 10> sequence{};
         std::array<std::uint32_t, 10> acknowledged{};
-        std::array<int, 10> unanswered{}; // Steps since the request, 0 without one.
-        std::vector<std::pair<int, TargetKey>> probes; // When they end.
+        std::array<int, 10> unanswered{}; // Steps since the open request; 0 if there is none.
+        std::vector<std::pair<int, TargetKey>> probes; // Step in which they end, target.
         for (int step = 0; step < Steps; ++step) {
             balancer.now += milliseconds(10);
             const bool dead = dies && step > 100;
@@ -450,9 +450,9 @@
                     schedule.ended(key);
                 }
                 for (std::size_t replica = 0; end == step && replica < Replicas; ++replica) {
-                    const bool errs = replica == 0 && oneReplicaErrs;
-                    const bool unreachable = errs || (key == Silent && dead);
-                    if (unreachable && findings.unreachable(balancer.now, {ReplicaId{static_cast<std::uint32_t>(replica + 1)}, Here}, key)) {
+                    const bool cutOff = replica == 0 && oneReplicaIsCutOff;
+                    const bool unreachable = cutOff || (key == Silent && dead);
+                    if (unreachable && results.unreachable(balancer.now, {ReplicaId{static_cast<std::uint32_t>(replica + 1)}, Here}, key)) {
                         balancer.steering.targets().takeForGone(balancer.now, key);
                     }
                 }
