--- a/tests/test_targets.cpp
+++ b/tests/test_targets.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Targets: the replicas' directory of targets, confirmed drains, and the orders of versions.
+// Targets: the replicas' target directory, confirmed drains, and the ordering of versions.
 #include "drain_confirmations.h"
 #include "news_batch.h"
 #include "routing_state.h"
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("the directory passes on changes, orders them, and tells silent targets")
+TEST_CASE("the directory forwards changes in order and detects silent targets")
 {
     TargetDirectory directory(seconds(1), seconds(3));
     TargetRecord record = targetOf(5, "quotes");
@@ -60,7 +60,7 @@
     CHECK(directory.tick(Start + seconds(2)).empty());
     CHECK(directory.tick(Start + seconds(4)).size() == 1);
     const std::vector<TargetKey> keys = {TargetKey{5}};
-    CHECK(directory.heard(Start + seconds(5), keys).size() == 1);
+    CHECK(directory.renew(Start + seconds(5), keys).size() == 1);
     CHECK(directory.leave(Start + seconds(6), TargetKey{5}));
     record.sequence = 4;
     record.phase = TargetPhase::Serving;
@@ -68,18 +68,18 @@
     CHECK(directory.find(TargetKey{5})->phase == TargetPhase::Left);
 }
 
-TEST_CASE("a target that takes over an address ends the one that was silent there, and no other")
+TEST_CASE("a target that takes over an address ends the silent one there, and no other")
 {
     TargetDirectory directory(seconds(1), seconds(3));
     TargetRecord crashed = targetOf(5, "quotes");
     TargetRecord successor = targetOf(6, "decks");
     successor.address = crashed.address;
     directory.announce(Start, crashed);
-    const std::vector<TargetStatus> news = directory.announce(Start + seconds(2), successor);
-    REQUIRE(news.size() == 2);
-    CHECK(news[0].record.key == TargetKey{5});
-    CHECK(news[0].record.phase == TargetPhase::Left);
-    // An announcement of the crashed one that was held up on its way ends nobody, nor is anybody else ended.
+    const std::vector<TargetStatus> changes = directory.announce(Start + seconds(2), successor);
+    REQUIRE(changes.size() == 2);
+    CHECK(changes[0].record.key == TargetKey{5});
+    CHECK(changes[0].record.phase == TargetPhase::Left);
+    // A delayed announcement of the crashed target ends no other target, and neither does that of a new one.
     crashed.sequence = 7;
     CHECK(directory.announce(Start + seconds(3), crashed).empty());
     TargetRecord late = targetOf(4, "quotes");
@@ -88,32 +88,32 @@
     CHECK(directory.find(TargetKey{6})->phase == TargetPhase::Serving);
 }
 
-TEST_CASE("a target that restarts at once ends its former lifetime as soon as that one missed its turn")
+TEST_CASE("a target that restarts immediately ends its former lifetime as soon as that one is overdue")
 {
     TargetDirectory directory(seconds(1), seconds(3));
     TargetRecord crashed = targetOf(5, "quotes");
-    TargetRecord reborn = targetOf(6, "quotes");
-    reborn.address = crashed.address;
+    TargetRecord restarted = targetOf(6, "quotes");
+    restarted.address = crashed.address;
     directory.announce(Start, crashed);
-    // The former lifetime was heard a moment ago, so nothing can be said of it yet.
-    CHECK(directory.announce(Start + milliseconds(500), reborn).size() == 1);
+    // The former lifetime announced itself recently, so it is not overdue yet.
+    CHECK(directory.announce(Start + milliseconds(500), restarted).size() == 1);
     CHECK(directory.find(TargetKey{5})->phase == TargetPhase::Serving);
-    reborn.sequence = 2;
-    CHECK(directory.announce(Start + seconds(1), reborn).empty());
-    reborn.sequence = 3;
-    const std::vector<TargetStatus> news = directory.announce(Start + seconds(2), reborn);
-    REQUIRE(news.size() == 1);
-    CHECK(news[0].record.key == TargetKey{5});
-    CHECK(news[0].record.phase == TargetPhase::Left);
-    // An announcement of the ended lifetime that was held up ends nobody, whoever was silent at the address.
+    restarted.sequence = 2;
+    CHECK(directory.announce(Start + seconds(1), restarted).empty());
+    restarted.sequence = 3;
+    const std::vector<TargetStatus> changes = directory.announce(Start + seconds(2), restarted);
+    REQUIRE(changes.size() == 1);
+    CHECK(changes[0].record.key == TargetKey{5});
+    CHECK(changes[0].record.phase == TargetPhase::Left);
+    // A delayed announcement of the ended lifetime ends no other, even one that is silent at the address.
     crashed.sequence = 9;
     CHECK(directory.announce(Start + seconds(5), crashed).empty());
     CHECK(directory.find(TargetKey{6})->phase == TargetPhase::Serving);
 }
 
-// The pattern: a cut holds announcements up, their sender crashes, its address passes on, and the cut heals. Which
-// announcement comes first then is chance.
-TEST_CASE("an announcement that was held up ends no successor, whether its lifetime was known or not")
+// A network partition delays announcements, their sender crashes, its address is reused, and the partition heals. The order
+// in which the announcements then arrive is arbitrary.
+TEST_CASE("a delayed announcement ends no successor, whether its lifetime was known or not")
 {
     TargetRecord crashed = targetOf(5, "quotes");
     TargetRecord successor = targetOf(6, "decks");
@@ -125,17 +125,17 @@
             crashed.sequence = 30;
             directory.announce(Start, crashed);
         }
-        // The successor announces itself elsewhere, and what is heard of it here is old.
+        // The successor announces itself at another replica, and its last status here is old.
         successor.sequence = 1;
         directory.take(Start + seconds(1), {successor, false, Duration{0}, Duration{0}});
         for (const std::uint64_t sequence : {31, 32}) {
             crashed.sequence = sequence;
-            for (const TargetStatus &news : directory.announce(Start + seconds(4) + milliseconds(sequence), crashed)) {
-                CHECK(news.record.key == crashed.key);
+            for (const TargetStatus &change : directory.announce(Start + seconds(4) + milliseconds(sequence), crashed)) {
+                CHECK(change.record.key == crashed.key);
             }
         }
         CHECK(directory.find(successor.key)->phase == TargetPhase::Serving);
-        // The successor itself ends it, once it missed its turn again.
+        // The successor ends the older lifetime once that one is overdue again.
         successor.sequence = 7;
         CHECK(directory.announce(Start + seconds(7), successor).size() == 1);
         CHECK(directory.find(crashed.key)->phase == TargetPhase::Left);
@@ -143,7 +143,7 @@
     }
 }
 
-TEST_CASE("replicas that heard two lifetimes at one address in other orders agree which is the older")
+TEST_CASE("replicas that received two lifetimes at one address in different orders agree which one is older")
 {
     TargetRecord older = targetOf(5, "quotes");
     TargetRecord younger = targetOf(6, "decks");
@@ -152,8 +152,8 @@
     informed.announce(Start, older);
     younger.sequence = 1;
     informed.announce(Start + seconds(1), younger);
-    // This one met the older one last, as it had just lost its disk, and by its very first announcement, which was held
-    // up. The other one tells it since when that target is known.
+    // This replica has just lost its disk and hears the older lifetime last, by its delayed first announcement. The other
+    // replica informs it when that lifetime was first heard.
     TargetDirectory wiped(seconds(1), seconds(3));
     wiped.announce(Start + seconds(1), younger);
     wiped.announce(Start + milliseconds(1100), older);
@@ -181,7 +181,7 @@
     CHECK(directory.find(record.key)->phase == TargetPhase::Left);
 }
 
-TEST_CASE("a target that moves to another address ends nobody at its former one")
+TEST_CASE("a target that moves to another address ends no target at its former one")
 {
     TargetDirectory directory(seconds(1), seconds(3));
     TargetRecord moving = targetOf(5, "quotes");
@@ -196,7 +196,7 @@
     CHECK(directory.find(TargetKey{5})->phase == TargetPhase::Serving);
 }
 
-TEST_CASE("a drain is confirmed by enough different replicas, or given up in time")
+TEST_CASE("a drain is confirmed by enough different replicas, or fails after the timeout")
 {
     constexpr TargetLifetime Fifth{TargetKey{5}};
     DrainConfirmations drains({2, 0}, Self);
@@ -221,7 +221,7 @@
     CHECK(answers.size() == 3);
 }
 
-TEST_CASE("a drain is not confirmed by replicas of one data centre alone, as they are lost together")
+TEST_CASE("a drain is not confirmed by replicas of one data centre alone, because they fail together")
 {
     constexpr TargetLifetime Fifth{TargetKey{5}};
     DrainConfirmations drains({2, 1}, Self);
@@ -237,7 +237,7 @@
     CHECK(confirmed);
 }
 
-TEST_CASE("a drain that was confirmed once is not asked about again, its lifetime's end and a later lifetime are")
+TEST_CASE("a confirmed drain needs no further receipts, but the lifetime's end and a later lifetime do")
 {
     constexpr TargetLifetime Fifth{TargetKey{5}, 1};
     constexpr TargetLifetime Later{TargetKey{5}, 2};
@@ -257,31 +257,31 @@
     CHECK(DrainConfirmations({0, 0}, Self).confirmed(Later, TargetPhase::Left));
 }
 
-TEST_CASE("the first change after a pause is told at once, and those that follow together")
+TEST_CASE("the first change after a pause is sent immediately, and those that follow are sent together")
 {
-    ChangeBatch news;
-    CHECK(news.take(Start).empty());
-    news.add(TargetKey{1});
-    CHECK(news.take(Start) == std::vector{TargetKey{1}});
-    news.add(TargetKey{2});
-    news.add(TargetKey{3});
-    news.add(TargetKey{2});
-    CHECK(news.take(Start + ReplicaUpdateInterval - milliseconds(1)).empty());
-    CHECK(news.take(Start + ReplicaUpdateInterval) == std::vector{TargetKey{2}, TargetKey{3}});
-    CHECK(news.take(Start + 2 * ReplicaUpdateInterval).empty());
+    ChangeBatch batch;
+    CHECK(batch.take(Start).empty());
+    batch.add(TargetKey{1});
+    CHECK(batch.take(Start) == std::vector{TargetKey{1}});
+    batch.add(TargetKey{2});
+    batch.add(TargetKey{3});
+    batch.add(TargetKey{2});
+    CHECK(batch.take(Start + ReplicaUpdateInterval - milliseconds(1)).empty());
+    CHECK(batch.take(Start + ReplicaUpdateInterval) == std::vector{TargetKey{2}, TargetKey{3}});
+    CHECK(batch.take(Start + 2 * ReplicaUpdateInterval).empty());
 }
 
-// A release drains targets by the hundred, and each of them says so again with every announcement until it ends.
-TEST_CASE("what the other replicas are told in a release follows the time that it takes, not its targets and their announcements")
+// A release drains hundreds of targets, each of which repeats its drain with every announcement until it ends.
+TEST_CASE("messages to other replicas during a release depend on its duration, not on the number of targets or announcements")
 {
     const auto messagesFor = [](std::uint64_t targets) {
         constexpr int Announcements = 8;
         constexpr Duration Interval = milliseconds(770);
         DrainConfirmations drains({2, 0}, Self);
-        ChangeBatch news;
+        ChangeBatch batch;
         std::size_t messages = 0;
         std::size_t answered = 0;
-        std::vector<TargetKey> told;
+        std::vector<TargetKey> sent;
         for (TimePoint now = Start; now < Start + Interval * Announcements; now += milliseconds(1)) {
             const auto tick = static_cast<std::uint64_t>((now - Start).count() / 1000);
             for (std::uint64_t key = 1; key <= targets; ++key) {
@@ -293,16 +293,16 @@
                     ++answered;
                     continue;
                 }
-                news.add(lifetime.key);
+                batch.add(lifetime.key);
                 drains.await(now, lifetime, TargetPhase::Draining, [&answered](bool taken) {
                     answered += taken ? 1 : 0;
                 });
             }
-            for (const TargetKey key : std::exchange(told, news.take(now))) {
+            for (const TargetKey key : std::exchange(sent, batch.take(now))) {
                 drains.receipt(FirstPlace, {key, 1}, TargetPhase::Draining);
                 drains.receipt(SecondPlace, {key, 1}, TargetPhase::Draining);
             }
-            messages += told.empty() ? 0 : 1;
+            messages += sent.empty() ? 0 : 1;
         }
         CHECK(answered == targets * Announcements);
         return messages;
@@ -313,7 +313,7 @@
     CHECK(many <= 770 / 25 + 2);
 }
 
-TEST_CASE("the highest version holds under one order, the expected base under the other")
+TEST_CASE("the highest version is applied under one ordering, and the expected base version under the other")
 {
     CHECK(HighestVersion::judge(7, 0, 9) == VersionVerdict::Apply);
     CHECK(HighestVersion::judge(7, 7, 7) == VersionVerdict::Superseded);
@@ -332,7 +332,7 @@
     CHECK(restored.document().table == state.document().table);
 }
 
-TEST_CASE("orders to drain a data centre are applied in the order of the log, and survive a snapshot")
+TEST_CASE("data centre drain orders are applied in log order and survive a snapshot")
 {
     RoutingState state;
     const DataCentreDrainOrder drain{"lalit", true};
@@ -341,7 +341,7 @@
     state.applyCommand(RoutingState::encodeChange(DataCentreDrainOrder{"bhakta", true}));
     CHECK(state.drains().drained() == std::vector<std::string>{"bhakta", "lalit"});
     CHECK(state.drains().revision() == 2);
-    // The same order again changes nothing; a document in between neither.
+    // Repeating the order changes nothing, and neither does a document in between.
     CHECK(state.applyCommand(RoutingState::encodeChange(drain)).verdict == VersionVerdict::Superseded);
     state.applyCommand(RoutingState::encodeChange(RoutingDocument{"text", tableOf(9)}));
     CHECK(state.drains().revision() == 2);
@@ -355,10 +355,10 @@
     CHECK(state.applyCommand(RoutingState::encodeChange(takeBack)).verdict == VersionVerdict::Superseded);
 }
 
-TEST_CASE("snapshots and log entries of the release before drains are read")
+TEST_CASE("snapshots and log entries of the release without drains are read")
 {
-    // A document "t" of version 9, idle time 15 s, one service "a" and its route 198.18.0.1:443, as that release wrote it,
-    // in its snapshots and in its log alike.
+    // A document "t" of version 9, idle time-out 15 s, one service "a" and its route 198.18.0.1:443, as that release wrote
+    // it both in snapshots and in the log.
     constexpr std::array<std::uint8_t, 30> Earlier{0x82, 0x00, 0x82, 0x61, 0x74, 0x84, 0x09, 0x1a, 0x00, 0xe4, 0xe1, 0xc0, 0x81, 0x61, 0x61,
                                                    0x81, 0x82, 0x82, 0x1a, 0xc6, 0x12, 0x00, 0x01, 0x19, 0x01, 0xbb, 0x81, 0x82, 0x00, 0x01};
     const BytesView bytes(Earlier);
@@ -376,7 +376,7 @@
     }
 }
 
-TEST_CASE("a target that starts again under its key begins a lifetime, its counts anew")
+TEST_CASE("a target that restarts under the same key begins a new lifetime with its own sequence numbers")
 {
     TargetDirectory directory(seconds(1), seconds(3));
     TargetRecord record = targetOf(5, "quotes");
@@ -388,14 +388,14 @@
     again.sequence = 1;
     CHECK(directory.announce(Start + seconds(1), again).size() == 1);
     CHECK(directory.find(TargetKey{5})->born == 2'000);
-    // What was held up of the former lifetime changes nothing: neither its drain nor its end.
+    // Delayed messages of the former lifetime change nothing: neither its drain nor its end.
     record.sequence = 41;
     record.phase = TargetPhase::Draining;
     CHECK(directory.announce(Start + seconds(2), record).empty());
     CHECK_FALSE(directory.take(Start + seconds(2), {record, false, Duration{0}, seconds(2)}));
     CHECK_FALSE(directory.leave(Start + seconds(2), TargetKey{5}, 1'000));
     CHECK(directory.find(TargetKey{5})->phase == TargetPhase::Serving);
-    // It was not heard through that: it falls silent in its time.
+    // They do not count as announcements of the new lifetime, which goes silent at the usual time.
     CHECK(directory.tick(Start + seconds(4)).size() == 1);
     REQUIRE(directory.leave(Start + seconds(4), TargetKey{5}, 2'000));
     // After its end a third lifetime begins.
@@ -404,7 +404,7 @@
     CHECK(directory.find(TargetKey{5})->phase == TargetPhase::Serving);
 }
 
-TEST_CASE("a departure that names no lifetime ends the one that is held")
+TEST_CASE("a departure that names no lifetime ends the current one")
 {
     TargetDirectory directory(seconds(1), seconds(3));
     TargetRecord record = targetOf(5, "quotes");
@@ -427,13 +427,13 @@
     CHECK(confirmed);
 }
 
-TEST_CASE("balancers hear of a target that warms up anew without a restart")
+TEST_CASE("balancers are informed of a target that warms up again without a restart")
 {
     TargetDirectory directory(seconds(1), seconds(3));
     TargetRecord record = targetOf(5, "quotes");
     record.warmupLeft = seconds(2);
     directory.announce(Start, record);
-    // The same warm-up, announced again with its time run down, is no news.
+    // The same warm-up, announced again with less time left, is no change.
     record.sequence = 2;
     record.warmupLeft = milliseconds(1'050);
     CHECK(directory.announce(Start + seconds(1), record).empty());
@@ -442,7 +442,7 @@
     CHECK(directory.announce(Start + seconds(2), record).empty());
     record.sequence = 4;
     record.warmupLeft = milliseconds(1'800);
-    const std::vector<TargetStatus> news = directory.announce(Start + seconds(3), record);
-    REQUIRE(news.size() == 1);
-    CHECK(news[0].record.warmupLeft == milliseconds(1'800));
+    const std::vector<TargetStatus> changes = directory.announce(Start + seconds(3), record);
+    REQUIRE(changes.size() == 1);
+    CHECK(changes[0].record.warmupLeft == milliseconds(1'800));
 }
