--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -402,7 +402,7 @@
     const auto digest = [this](const Replica &replica) {
         TargetDirectory directory(AnnounceInterval, AnnounceInterval);
         for (const TargetStatus &status : replica.exchange->all(m_now)) {
-            directory.take(m_now, status);
+            directory.apply(m_now, status);
         }
         return directory.digest(MinDigestBuckets);
     };
--- a/src/directory_follower.cpp
+++ b/src/directory_follower.cpp
@@ -47,7 +47,7 @@
     return resumable ? FollowDirectory{at->second.life, at->second.number} : FollowDirectory{};
 }
 
-PageResult DirectoryFollower::take(TimePoint now, ReplicaId replica, const DirectoryPage &page)
+PageResult DirectoryFollower::apply(TimePoint now, ReplicaId replica, const DirectoryPage &page)
 {
     if (!isValid(page)) {
         return PageResult::Malformed;
--- a/src/directory_follower.h
+++ b/src/directory_follower.h
@@ -28,7 +28,7 @@
     // The request for a replica: the changes after the last page that was applied, or everything.
     FollowDirectory request(ReplicaId replica) const;
 
-    PageResult take(TimePoint now, ReplicaId replica, const DirectoryPage &page);
+    PageResult apply(TimePoint now, ReplicaId replica, const DirectoryPage &page);
 
     // The link to a replica was lost. Its state is kept, so that only the difference need be sent later.
     void lost(ReplicaId replica);
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -259,7 +259,7 @@
 
 void SteeringNode::onPage(LinkHandle link, ReplicaId replica, const DirectoryPage &page)
 {
-    switch (m_follower.take(monotonicNow(), replica, page)) {
+    switch (m_follower.apply(monotonicNow(), replica, page)) {
     case PageResult::Applied:
         break;
     case PageResult::Completed:
--- a/src/target_directory.cpp
+++ b/src/target_directory.cpp
@@ -33,7 +33,7 @@
     if (known == nullptr || known->phase != TargetPhase::Left || record.born > known->born) {
         changes = endOlderLifetimes(now, record);
     }
-    if (std::optional<TargetStatus> own = take(now, {record, false, Duration{0}})) {
+    if (std::optional<TargetStatus> own = apply(now, {record, false, Duration{0}})) {
         changes.push_back(std::move(*own));
     }
     return changes;
@@ -86,7 +86,7 @@
     return now - m_announceInterval * static_cast<std::int64_t>(std::min(before, MaxCountedIntervals));
 }
 
-std::optional<TargetStatus> TargetDirectory::take(TimePoint now, const TargetStatus &status)
+std::optional<TargetStatus> TargetDirectory::apply(TimePoint now, const TargetStatus &status)
 {
     const auto found = m_entries.find(status.record.key);
     if (found == m_entries.end()) {
--- a/src/target_directory.h
+++ b/src/target_directory.h
@@ -41,7 +41,7 @@
     std::vector<TargetStatus> announce(TimePoint now, const TargetRecord &record);
 
     // Applies a status received from another replica. Returns the change to forward to balancers, if any.
-    std::optional<TargetStatus> take(TimePoint now, const TargetStatus &status);
+    std::optional<TargetStatus> apply(TimePoint now, const TargetStatus &status);
 
     // Ends a lifetime, or the current one if `born` is 0. Returns the change to forward; empty if the lifetime is unknown or
     // was replaced by a later one.
--- a/src/target_exchange_detail.h
+++ b/src/target_exchange_detail.h
@@ -141,7 +141,7 @@
     std::vector<TargetStatus> changed;
     TargetReceipts receipts;
     for (const TargetStatus &status : list.news) {
-        if (std::optional<TargetStatus> applied = m_directory.take(now, status)) {
+        if (std::optional<TargetStatus> applied = m_directory.apply(now, status)) {
             changed.push_back(std::move(*applied));
         }
         if (status.record.phase != TargetPhase::Serving) {
@@ -300,7 +300,7 @@
 {
     m_restored = !targets.empty();
     for (const TargetStatus &status : targets) {
-        m_directory.take(now, {status.record, false, Duration{0}, status.known});
+        m_directory.apply(now, {status.record, false, Duration{0}, status.known});
     }
     notifyFollowers(targets);
 }
--- a/tests/test_directory.cpp
+++ b/tests/test_directory.cpp
@@ -95,7 +95,7 @@
 struct Balancer {
     PageResult take(TimePoint now, const DirectoryPage &page, ReplicaId replica = Near)
     {
-        return follower.take(now, replica, page);
+        return follower.apply(now, replica, page);
     }
 
     // Applies all queued pages and returns the last result.
--- a/tests/test_directory_digest.cpp
+++ b/tests/test_directory_digest.cpp
@@ -73,7 +73,7 @@
 
     void take(TimePoint now, const TargetRecord &record)
     {
-        directory.take(now, {record, false, Duration{0}, Duration{0}});
+        directory.apply(now, {record, false, Duration{0}, Duration{0}});
     }
 };
 
@@ -158,7 +158,7 @@
         } else if (const auto *list = std::get_if<TargetStatusList>(&message)) {
             replica.reconciler.onProgress(now, from);
             for (const TargetStatus &news : list->news) {
-                replica.directory.take(now, news);
+                replica.directory.apply(now, news);
             }
         } else if (const auto *answer = std::get_if<DirectoryQueryDone>(&message)) {
             replica.reconciler.onQueryDone(from, *answer);
--- a/tests/test_heard_targets.cpp
+++ b/tests/test_heard_targets.cpp
@@ -107,7 +107,7 @@
         std::vector<TimePoint> last(Targets, Start);
         std::vector<TimePoint> ends(Targets, TimePoint::max());
         for (std::uint64_t i = 0; i < Targets; ++i) {
-            directory.take(Start, {targetOf(i + 1), false, Duration{0}, Duration{0}});
+            directory.apply(Start, {targetOf(i + 1), false, Duration{0}, Duration{0}});
             due[i] = Start + milliseconds(random() % 770);
             if (i % 2 == 0) {
                 ends[i] = Start + seconds(2) + milliseconds(random() % 3000);
--- a/tests/test_targets.cpp
+++ b/tests/test_targets.cpp
@@ -127,7 +127,7 @@
         }
         // The successor announces itself at another replica, and its last status here is old.
         successor.sequence = 1;
-        directory.take(Start + seconds(1), {successor, false, Duration{0}, Duration{0}});
+        directory.apply(Start + seconds(1), {successor, false, Duration{0}, Duration{0}});
         for (const std::uint64_t sequence : {31, 32}) {
             crashed.sequence = sequence;
             for (const TargetStatus &change : directory.announce(Start + seconds(4) + milliseconds(sequence), crashed)) {
@@ -158,7 +158,7 @@
     wiped.announce(Start + seconds(1), younger);
     wiped.announce(Start + milliseconds(1100), older);
     for (const TargetStatus &status : informed.all(Start + milliseconds(1200))) {
-        wiped.take(Start + milliseconds(1200), status);
+        wiped.apply(Start + milliseconds(1200), status);
     }
     older.sequence = 3;
     CHECK(wiped.announce(Start + seconds(4), older).empty());
@@ -392,7 +392,7 @@
     record.sequence = 41;
     record.phase = TargetPhase::Draining;
     CHECK(directory.announce(Start + seconds(2), record).empty());
-    CHECK_FALSE(directory.take(Start + seconds(2), {record, false, Duration{0}, seconds(2)}));
+    CHECK_FALSE(directory.apply(Start + seconds(2), {record, false, Duration{0}, seconds(2)}));
     CHECK_FALSE(directory.leave(Start + seconds(2), TargetKey{5}, 1'000));
     CHECK(directory.find(TargetKey{5})->phase == TargetPhase::Serving);
     // They do not count as announcements of the new lifetime, which goes silent at the usual time.
