--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -268,9 +268,9 @@
 {
     BasicTargetExchange<Links> &exchange = *replica.exchange;
     if (const auto *news = std::get_if<TargetStatusList>(&message)) {
-        exchange.onNews(m_now, link, *news);
-    } else if (const auto *heard = std::get_if<TargetsHeard>(&message)) {
-        exchange.onHeard(m_now, link, *heard);
+        exchange.onTargetStatuses(m_now, link, *news);
+    } else if (const auto *heard = std::get_if<TargetLeaseUpdate>(&message)) {
+        exchange.onLeaseUpdate(m_now, link, *heard);
     } else if (const auto *receipts = std::get_if<TargetReceipts>(&message)) {
         exchange.onReceipts(m_now, peer, *receipts);
     } else if (const auto *digest = std::get_if<DirectoryDigest>(&message)) {
@@ -279,7 +279,7 @@
         exchange.onCompare(m_now, link, *compare);
     } else if (const auto *query = std::get_if<DirectoryQuery>(&message)) {
         exchange.onQuery(m_now, link, *query);
-    } else if (const auto *answered = std::get_if<DirectoryAnswered>(&message)) {
+    } else if (const auto *answered = std::get_if<DirectoryQueryDone>(&message)) {
         exchange.onAnswered(link, *answered);
     }
 }
@@ -295,7 +295,7 @@
         replica.exchange->publish(m_now);
         replica.exchange->expireDrains(m_now);
         if (m_now.time_since_epoch() / Tick % (Beat / Tick) == static_cast<std::int64_t>(number) % (Beat / Tick)) {
-            replica.exchange->beat(m_now);
+            replica.exchange->sendHeartbeat(m_now);
         }
     });
     at(m_now + Tick, [this, number, boot] {
@@ -402,7 +402,7 @@
     const auto digest = [this](const Replica &replica) {
         TargetDirectory directory(AnnounceInterval, AnnounceInterval);
         for (const TargetStatus &status : replica.exchange->all(m_now)) {
-            directory.take(m_now, status);
+            directory.apply(m_now, status);
         }
         return directory.digest(MinDigestBuckets);
     };
--- a/src/directory_follower.cpp
+++ b/src/directory_follower.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-bool isSound(const DirectoryPage &page)
+bool isValid(const DirectoryPage &page)
 {
     return page.life != 0 && page.upTo >= page.after && std::all_of(page.targets.begin(), page.targets.end(), [&page](const ListedTarget &target) {
                return target.service < page.services.size();
@@ -42,22 +42,22 @@
 FollowDirectory DirectoryFollower::request(ReplicaId replica) const
 {
     const auto at = m_progress.find(replica);
-    // A list that was broken off says nothing of the targets that had not come yet.
-    const bool goesOn = at != m_progress.end() && !at->second.listing;
-    return goesOn ? FollowDirectory{at->second.life, at->second.number} : FollowDirectory{};
+    // An interrupted transfer says nothing about the targets that were not received yet.
+    const bool resumable = at != m_progress.end() && !at->second.listing;
+    return resumable ? FollowDirectory{at->second.life, at->second.number} : FollowDirectory{};
 }
 
-PageVerdict DirectoryFollower::take(TimePoint now, ReplicaId replica, const DirectoryPage &page)
+PageResult DirectoryFollower::apply(TimePoint now, ReplicaId replica, const DirectoryPage &page)
 {
-    if (!isSound(page)) {
-        return PageVerdict::Malformed;
+    if (!isValid(page)) {
+        return PageResult::Malformed;
     }
     Progress &progress = m_progress[replica];
     if (page.after == 0) {
         progress = {page.life, 0, true, {}};
     } else if (page.life != progress.life || page.after != progress.number) {
         m_progress.erase(replica);
-        return PageVerdict::Gap;
+        return PageResult::Gap;
     }
     for (const ListedTarget &listed : page.targets) {
         m_targets.take(now, replica, statusOf(listed, page.services));
@@ -69,7 +69,7 @@
     if (page.last && std::exchange(progress.listing, false)) {
         m_targets.withdrawReportsExcept(replica, std::exchange(progress.listed, {}));
     }
-    return page.last && page.informed ? PageVerdict::Completed : PageVerdict::Taken;
+    return page.last && page.informed ? PageResult::Completed : PageResult::Applied;
 }
 
 void DirectoryFollower::lost(ReplicaId replica)
--- a/src/directory_log.cpp
+++ b/src/directory_log.cpp
@@ -45,19 +45,19 @@
 std::uint64_t DirectoryLog::resume(std::uint64_t life, std::uint64_t after) const
 {
     const bool known = life == m_life && after <= m_newest;
-    return known && tellsAllAfter(after) ? after : 0;
+    return known && isCompleteAfter(after) ? after : 0;
 }
 
-bool DirectoryLog::tellsAllAfter(std::uint64_t number) const
+bool DirectoryLog::isCompleteAfter(std::uint64_t number) const
 {
     return number >= m_forgotten;
 }
 
-DirectoryLogSlice DirectoryLog::after(std::uint64_t number, std::size_t most) const
+DirectoryLogSlice DirectoryLog::after(std::uint64_t number, std::size_t limit) const
 {
     DirectoryLogSlice slice{m_newest, {}};
     for (auto at = m_order.upper_bound(number); at != m_order.end(); ++at) {
-        if (slice.keys.size() == most) {
+        if (slice.keys.size() == limit) {
             slice.upTo = std::prev(at)->first;
             break;
         }
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -116,7 +116,7 @@
     bool m_confirmed = false; // Whether a table of at least the confirmed version has been applied.
     bool m_informed = false;
     std::function<void()> m_onRoutingData;
-    ProbeFindings m_probeFindings;
+    ProbeResults m_probeFindings;
     std::function<void(std::span<const FlowReset>)> m_sendResets;
     std::uint64_t m_flowsReset = 0;
     LogBudget m_resetLog;
--- a/src/steering_routes.cpp
+++ b/src/steering_routes.cpp
@@ -78,7 +78,7 @@
     return longest;
 }
 
-// Packets of flows on a removed route are answered with resets. These flows live no longer than RememberLeft, the time for
+// Packets of flows on a removed route are answered with resets. These flows live no longer than LeftTargetRetention, the time for
 // which targets that left are remembered.
 void SteeringRoutes::tick(TimePoint now)
 {
@@ -87,7 +87,7 @@
         if (seen == TimePoint{}) {
             seen = now;
         }
-        return now - seen >= RememberLeft;
+        return now - seen >= LeftTargetRetention;
     });
 }
 
--- a/src/steering_targets.cpp
+++ b/src/steering_targets.cpp
@@ -112,7 +112,7 @@
     for (auto at = m_targets.begin(); at != m_targets.end();) {
         SteeredTarget &target = at->second;
         const bool left = target.record.phase == TargetPhase::Left;
-        const bool expired = left ? now - target.leftAt >= RememberLeft : !reportedAlive(target) && now - target.lastAlive >= ForgetSilent;
+        const bool expired = left ? now - target.leftAt >= LeftTargetRetention : !reportedAlive(target) && now - target.lastAlive >= SilentTargetRetention;
         if (expired && target.flows == 0) {
             remove(target);
             at = m_targets.erase(at);
@@ -143,7 +143,7 @@
 bool SteeringTargets::declareGone(TimePoint now, TargetKey key)
 {
     const auto at = m_targets.find(key);
-    if (at == m_targets.end() || now - at->second.lastAlive < RecentLife) {
+    if (at == m_targets.end() || now - at->second.lastAlive < RecentActivityWindow) {
         return false;
     }
     at->second.resetPending = true;
--- a/src/steering_targets.h
+++ b/src/steering_targets.h
@@ -79,7 +79,7 @@
     void markSuspect(TimePoint now, SteeredTarget &target);
     void markAlive(TimePoint now, SteeredTarget &target);
 
-    // Marks a target as gone unless it showed a sign of life through this balancer within RecentLife; returns whether it was marked.
+    // Marks a target as gone unless it showed a sign of life through this balancer within RecentActivityWindow; returns whether it was marked.
     bool declareGone(TimePoint now, TargetKey key);
 
     // Whether flows of any target are still to be reset; clears that once they were.
