--- a/src/news_batch.h
+++ b/src/news_batch.h
@@ -3,7 +3,7 @@
 //
 // A release changes thousands of targets within seconds. With one message for each change and replica, the number of
 // messages would be changes x replicas. The first change after a pause is therefore sent immediately, and all changes
-// within the ReplicaUpdateInterval that follows are sent together.
+// within the ChangeBatchInterval that follows are sent together.
 #pragma once
 
 #include "target_record.h"
@@ -15,7 +15,7 @@
 
 // Minimum time between two batches to the other replicas. It may delay the confirmation of a drain, which callers do not
 // notice because a draining target continues to serve for seconds.
-inline constexpr Duration ReplicaUpdateInterval = std::chrono::milliseconds(25);
+inline constexpr Duration ChangeBatchInterval = std::chrono::milliseconds(25);
 
 class ChangeBatch
 {
@@ -26,13 +26,13 @@
         m_pending.insert(key);
     }
 
-    // Removes and returns the targets to send now; empty until ReplicaUpdateInterval has passed since the last batch.
+    // Removes and returns the targets to send now; empty until ChangeBatchInterval has passed since the last batch.
     std::vector<TargetKey> take(TimePoint now)
     {
         if (m_pending.empty() || now < m_due) {
             return {};
         }
-        m_due = now + ReplicaUpdateInterval;
+        m_due = now + ChangeBatchInterval;
         std::vector<TargetKey> keys(m_pending.begin(), m_pending.end());
         m_pending.clear();
         return keys;
--- a/src/target_exchange_detail.h
+++ b/src/target_exchange_detail.h
@@ -118,7 +118,7 @@
     }
 }
 
-// Sends pending changes to the other replicas, at most once per ReplicaUpdateInterval.
+// Sends pending changes to the other replicas, at most once per ChangeBatchInterval.
 template<ExchangeLinks Links>
 void BasicTargetExchange<Links>::notifyReplicas(TimePoint now)
 {
--- a/tests/test_targets.cpp
+++ b/tests/test_targets.cpp
@@ -266,9 +266,9 @@
     batch.add(TargetKey{2});
     batch.add(TargetKey{3});
     batch.add(TargetKey{2});
-    CHECK(batch.take(Start + ReplicaUpdateInterval - milliseconds(1)).empty());
-    CHECK(batch.take(Start + ReplicaUpdateInterval) == std::vector{TargetKey{2}, TargetKey{3}});
-    CHECK(batch.take(Start + 2 * ReplicaUpdateInterval).empty());
+    CHECK(batch.take(Start + ChangeBatchInterval - milliseconds(1)).empty());
+    CHECK(batch.take(Start + ChangeBatchInterval) == std::vector{TargetKey{2}, TargetKey{3}});
+    CHECK(batch.take(Start + 2 * ChangeBatchInterval).empty());
 }
 
 // A release drains hundreds of targets, each of which repeats its drain with every announcement until it ends.
