--- a/src/main_control.cpp
+++ b/src/main_control.cpp
@@ -51,7 +51,7 @@
     }
     BOOST_LEAF_CHECK(storage.setCluster(randomNumber()));
     const ReplicaKey self{file.replica, storage.identity().disk};
-    const RaftDurable durable = RaftCore::bootstrap(self, encodeMessage(ControlCommand(Genesis{file.firstOperators})));
+    const PersistentRaftState durable = RaftCore::bootstrap(self, encodeMessage(ControlCommand(Genesis{file.firstOperators})));
     RaftOutput first;
     first.hard = durable.hard;
     first.entries = durable.log;
--- a/src/raft_core.cpp
+++ b/src/raft_core.cpp
@@ -11,7 +11,7 @@
 
 namespace Robinrail {
 
-RaftCore::RaftCore(ReplicaKey self, RaftDurable durable, TimePoint now, std::uint32_t seed, RaftPolicy policy)
+RaftCore::RaftCore(ReplicaKey self, PersistentRaftState durable, TimePoint now, std::uint32_t seed, RaftPolicy policy)
     : m_self(self)
     , m_policy(policy)
     , m_random(seed)
@@ -36,18 +36,18 @@
     commitTo(std::min(durable.committed, lastIndex()));
 }
 
-RaftDurable RaftCore::bootstrap(ReplicaKey self, Bytes firstCommand)
+PersistentRaftState RaftCore::bootstrap(ReplicaKey self, Bytes firstCommand)
 {
     return bootstrap(std::span(&self, 1), std::move(firstCommand));
 }
 
-RaftDurable RaftCore::bootstrap(std::span<const ReplicaKey> voters, Bytes firstCommand)
+PersistentRaftState RaftCore::bootstrap(std::span<const ReplicaKey> voters, Bytes firstCommand)
 {
     ClusterConfig config;
     for (const ReplicaKey &voter : voters) {
         config.members.push_back({voter, true});
     }
-    RaftDurable durable;
+    PersistentRaftState durable;
     durable.hard.term = Term{1};
     durable.log.push_back({Term{1}, LogIndex{1}, EntryKind::Config, encodeClusterConfig(config)});
     if (!firstCommand.empty()) {
--- a/src/raft_core.h
+++ b/src/raft_core.h
@@ -30,7 +30,7 @@
 inline constexpr std::size_t MaxAppendBytes = std::size_t{512} << 10U;
 
 // A learner becomes a voter when it lacks at most this many entries.
-inline constexpr std::uint64_t PromotionLag = 16;
+inline constexpr std::uint64_t MaxPromotionLag = 16;
 
 // A configuration as a log entry carries it, and back.
 Bytes encodeClusterConfig(const ClusterConfig &config);
@@ -46,7 +46,7 @@
 
 // A learner that nobody heard for this long is dropped, where the cluster keeps its members itself. Longer
 // than any restart, so that a replica that comes back need not be taken in again.
-inline constexpr Duration DropLearnerAfter = std::chrono::seconds(20);
+inline constexpr Duration LearnerRemovalTimeout = std::chrono::seconds(20);
 
 // A replica that just started and hears no leader asks for votes within this, as after a loss of power nobody
 // leads. Where somebody does lead, the pre-vote disturbs nothing.
@@ -54,13 +54,13 @@
 
 // How a cluster chooses its members. The default suits a cluster whose replicas are named in settings.
 struct RaftPolicy {
-    std::size_t wantedVoters = std::numeric_limits<std::size_t>::max(); // Learners beyond this stay spares.
+    std::size_t desiredVoters = std::numeric_limits<std::size_t>::max(); // Learners beyond this stay spares.
     std::size_t copies = 1; // Fewest voters' disks that hold an entry before it is committed.
-    Duration lostAfter{}; // A voter that was silent for this long is replaced by a spare; 0: never.
+    Duration voterTimeout{}; // A voter that was silent for this long is replaced by a spare; 0: never.
 };
 
 // What a replica finds on its disk, or starts with.
-struct RaftDurable {
+struct PersistentRaftState {
     HardState hard;
     std::optional<Snapshot> snapshot;
     std::vector<LogEntry> log; // Contiguous, after the snapshot.
@@ -73,7 +73,7 @@
 };
 
 // A read may be answered once `index` is applied.
-struct ReadReady {
+struct ConfirmedRead {
     std::uint64_t ticket = 0;
     LogIndex index{};
 };
@@ -86,7 +86,7 @@
     std::vector<LogEntry> entries;
     std::vector<RaftSend> sends;
     std::vector<LogEntry> committed;
-    std::vector<ReadReady> reads;
+    std::vector<ConfirmedRead> reads;
 
     bool mustSync() const
     {
@@ -105,14 +105,14 @@
 class RaftCore
 {
 public:
-    RaftCore(ReplicaKey self, RaftDurable durable, TimePoint now, std::uint32_t seed, RaftPolicy policy = {});
+    RaftCore(ReplicaKey self, PersistentRaftState durable, TimePoint now, std::uint32_t seed, RaftPolicy policy = {});
 
     // A durable state that makes `self` the only voter of a new cluster whose first command is given.
-    static RaftDurable bootstrap(ReplicaKey self, Bytes firstCommand);
+    static PersistentRaftState bootstrap(ReplicaKey self, Bytes firstCommand);
 
     // The same for several voters. Each of them starts with this very state, so the first election may go to
     // any and there is one cluster, whatever the order in which they start.
-    static RaftDurable bootstrap(std::span<const ReplicaKey> voters, Bytes firstCommand = {});
+    static PersistentRaftState bootstrap(std::span<const ReplicaKey> voters, Bytes firstCommand = {});
 
     // Says in which data centre a replica is; voters are spread over them.
     void setDataCentre(ReplicaId replica, DataCentreId dataCentre);
@@ -203,14 +203,14 @@
     void advanceCommit();
     void commitTo(LogIndex index);
     void confirmReads();
-    void maintainMembers(TimePoint now);
-    bool takeInJoiners(TimePoint now, ClusterConfig &config) const;
+    void updateMembership(TimePoint now);
+    bool addJoiningLearners(TimePoint now, ClusterConfig &config) const;
     bool replaceOrAddVoter(TimePoint now, ClusterConfig &config) const;
-    bool retireVoter(TimePoint now, ClusterConfig &config) const;
-    bool dropLearner(TimePoint now, ClusterConfig &config) const;
-    bool readyToVote(TimePoint now, const ReplicaMember &member) const;
+    bool demoteVoter(TimePoint now, ClusterConfig &config) const;
+    bool removeLearner(TimePoint now, ClusterConfig &config) const;
+    bool readyForPromotion(TimePoint now, const ReplicaMember &member) const;
     bool silent(TimePoint now, const ReplicaMember &member) const;
-    std::size_t votersBeside(const ReplicaMember &member) const;
+    std::size_t otherVotersInDataCentre(const ReplicaMember &member) const;
     void proposeConfig(TimePoint now, const ClusterConfig &config);
     bool configPending() const;
     std::size_t voterCount() const;
--- a/src/raft_election.cpp
+++ b/src/raft_election.cpp
@@ -21,7 +21,7 @@
         if (now >= m_heartbeatDue) {
             broadcast(now);
         }
-        maintainMembers(now);
+        updateMembership(now);
         return;
     }
     if (now < m_electionDue) {
--- a/src/raft_members.cpp
+++ b/src/raft_members.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // A joiner that did not ask for this long is not taken in.
-constexpr Duration JoinMemory = std::chrono::seconds(3);
+constexpr Duration JoinRequestLifetime = std::chrono::seconds(3);
 
 } // namespace
 
@@ -33,21 +33,21 @@
 // replica was on its lost disk is removed; then it becomes a voter. So a repaired replica counts only
 // with a full log, and the loss of a second one after that loses nothing. Learners count in no quorum, so one
 // step takes in all that ask: at the first start of a fleet that is every replica but the seeds.
-void RaftCore::maintainMembers(TimePoint now)
+void RaftCore::updateMembership(TimePoint now)
 {
     if (configPending() || termAt(m_commit) != m_hard.term) {
         return;
     }
     std::erase_if(m_joiners, [now](const auto &joiner) {
-        return now - joiner.second >= JoinMemory;
+        return now - joiner.second >= JoinRequestLifetime;
     });
     ClusterConfig changed = config();
-    if (takeInJoiners(now, changed) || retireVoter(now, changed) || replaceOrAddVoter(now, changed) || dropLearner(now, changed)) {
+    if (addJoiningLearners(now, changed) || demoteVoter(now, changed) || replaceOrAddVoter(now, changed) || removeLearner(now, changed)) {
         proposeConfig(now, changed);
     }
 }
 
-bool RaftCore::takeInJoiners(TimePoint now, ClusterConfig &config) const
+bool RaftCore::addJoiningLearners(TimePoint now, ClusterConfig &config) const
 {
     bool any = false;
     for (const auto &[joiner, asked] : m_joiners) {
@@ -69,7 +69,7 @@
 {
     ReplicaMember *spare = nullptr;
     for (ReplicaMember &member : config.members) {
-        if (!readyToVote(now, member)) {
+        if (!readyForPromotion(now, member)) {
             continue;
         }
         const auto old = std::find_if(config.members.begin(), config.members.end(), [&member](const ReplicaMember &other) {
@@ -79,14 +79,14 @@
             config.members.erase(old);
             return true;
         }
-        if (spare == nullptr || votersBeside(member) < votersBeside(*spare)) {
+        if (spare == nullptr || otherVotersInDataCentre(member) < otherVotersInDataCentre(*spare)) {
             spare = &member;
         }
     }
     const bool voterLost = std::any_of(config.members.begin(), config.members.end(), [&](const ReplicaMember &member) {
         return member.voter && silent(now, member);
     });
-    if (spare == nullptr || (voterCount() >= m_policy.wantedVoters && !voterLost)) {
+    if (spare == nullptr || (voterCount() >= m_policy.desiredVoters && !voterLost)) {
         return false;
     }
     spare->voter = true;
@@ -94,14 +94,14 @@
 }
 
 // Of more voters than are wanted, one that is silent becomes a learner, else one of the most crowded data centre.
-bool RaftCore::retireVoter(TimePoint now, ClusterConfig &config) const
+bool RaftCore::demoteVoter(TimePoint now, ClusterConfig &config) const
 {
-    if (voterCount() <= m_policy.wantedVoters) {
+    if (voterCount() <= m_policy.desiredVoters) {
         return false;
     }
     ReplicaMember *retired = nullptr;
     const auto rank = [&](const ReplicaMember &member) {
-        return std::pair(silent(now, member), votersBeside(member));
+        return std::pair(silent(now, member), otherVotersInDataCentre(member));
     };
     for (ReplicaMember &member : config.members) {
         const bool eligible = member.voter && member.key != m_self;
@@ -114,7 +114,7 @@
 }
 
 // A learner leaves when it was silent for long, or soon when its replica has another disk by now.
-bool RaftCore::dropLearner(TimePoint now, ClusterConfig &config) const
+bool RaftCore::removeLearner(TimePoint now, ClusterConfig &config) const
 {
     const auto lost = std::find_if(config.members.begin(), config.members.end(), [&](const ReplicaMember &member) {
         const auto progress = m_progress.find(member.key);
@@ -125,8 +125,8 @@
         const bool superseded = std::any_of(config.members.begin(), config.members.end(), [&member](const ReplicaMember &other) {
             return other.key.id == member.key.id && other.key != member.key;
         });
-        const bool keepsItself = m_policy.lostAfter > Duration{0};
-        return (superseded && silence >= JoinMemory) || (keepsItself && silence >= DropLearnerAfter);
+        const bool keepsItself = m_policy.voterTimeout > Duration{0};
+        return (superseded && silence >= JoinRequestLifetime) || (keepsItself && silence >= LearnerRemovalTimeout);
     });
     if (lost == config.members.end()) {
         return false;
@@ -135,24 +135,24 @@
     return true;
 }
 
-bool RaftCore::readyToVote(TimePoint now, const ReplicaMember &member) const
+bool RaftCore::readyForPromotion(TimePoint now, const ReplicaMember &member) const
 {
     const auto progress = m_progress.find(member.key);
     if (member.voter || progress == m_progress.end()) {
         return false;
     }
-    const bool caughtUp = value(progress->second.match) + PromotionLag >= value(lastIndex()) && progress->second.match > LogIndex{0};
+    const bool caughtUp = value(progress->second.match) + MaxPromotionLag >= value(lastIndex()) && progress->second.match > LogIndex{0};
     return caughtUp && now - progress->second.lastHeard < ElectionTimeout;
 }
 
 bool RaftCore::silent(TimePoint now, const ReplicaMember &member) const
 {
     const auto progress = m_progress.find(member.key);
-    return m_policy.lostAfter > Duration{0} && progress != m_progress.end() && now - progress->second.lastHeard >= m_policy.lostAfter;
+    return m_policy.voterTimeout > Duration{0} && progress != m_progress.end() && now - progress->second.lastHeard >= m_policy.voterTimeout;
 }
 
 // Voters in the data centre of a member, itself left out.
-std::size_t RaftCore::votersBeside(const ReplicaMember &member) const
+std::size_t RaftCore::otherVotersInDataCentre(const ReplicaMember &member) const
 {
     const auto place = [this](const ReplicaMember &each) {
         const auto at = m_dataCentres.find(each.key.id);
--- a/src/raft_replication.cpp
+++ b/src/raft_replication.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // A snapshot that was not confirmed is sent again after this time.
-constexpr Duration SnapshotRetry = std::chrono::seconds(1);
+constexpr Duration SnapshotRetryInterval = std::chrono::seconds(1);
 
 } // namespace
 
@@ -197,7 +197,7 @@
 
 void RaftCore::sendSnapshot(TimePoint now, ReplicaKey to, Progress &progress)
 {
-    if (progress.snapshotSent != TimePoint{} && now - progress.snapshotSent < SnapshotRetry) {
+    if (progress.snapshotSent != TimePoint{} && now - progress.snapshotSent < SnapshotRetryInterval) {
         return;
     }
     progress.snapshotSent = now;
--- a/src/raft_storage.cpp
+++ b/src/raft_storage.cpp
@@ -326,7 +326,7 @@
     return m_identity;
 }
 
-RaftDurable RaftStorage::takeDurable()
+PersistentRaftState RaftStorage::takePersistentState()
 {
     return std::exchange(m_durable, {});
 }
--- a/src/raft_storage.h
+++ b/src/raft_storage.h
@@ -63,7 +63,7 @@
     const StorageIdentity &identity() const;
 
     // What was found at opening; moved out.
-    RaftDurable takeDurable();
+    PersistentRaftState takePersistentState();
 
     // Whether the folder was empty at opening.
     bool fresh() const;
@@ -89,7 +89,7 @@
 
     std::filesystem::path m_folder;
     StorageIdentity m_identity;
-    RaftDurable m_durable;
+    PersistentRaftState m_durable;
     HardState m_hard;
     bool m_fresh = false;
     int m_log = -1;
--- a/src/replica_driver.h
+++ b/src/replica_driver.h
@@ -96,9 +96,9 @@
         return {storage.identity().replica, storage.identity().disk};
     }
 
-    static RaftDurable durableOf(RaftStorage &storage, LogIndex committed)
+    static PersistentRaftState durableOf(RaftStorage &storage, LogIndex committed)
     {
-        RaftDurable durable = storage.takeDurable();
+        PersistentRaftState durable = storage.takePersistentState();
         durable.committed = committed;
         return durable;
     }
--- a/src/replica_folder.cpp
+++ b/src/replica_folder.cpp
@@ -50,7 +50,7 @@
     if (!isSeed || storage.identity().cluster != 0) {
         return storage;
     }
-    const RaftDurable beginning = RaftCore::bootstrap(voters);
+    const PersistentRaftState beginning = RaftCore::bootstrap(voters);
     RaftOutput first;
     first.hard = beginning.hard;
     first.entries = beginning.log;
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -26,9 +26,9 @@
 RaftPolicy policyOf(const SteeringFile &file)
 {
     RaftPolicy policy;
-    policy.wantedVoters = 2 * file.borneLosses + 1;
+    policy.desiredVoters = 2 * file.borneLosses + 1;
     policy.copies = file.borneLosses + 1;
-    policy.lostAfter = VoterLostAfter;
+    policy.voterTimeout = VoterReplacementTimeout;
     return policy;
 }
 
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -29,7 +29,7 @@
 
 // A voter that was silent for this long gives its vote to a spare. Above the pause of an election, below the
 // time after which a second loss must be borne (4 s on the smallest deployment).
-inline constexpr Duration VoterLostAfter = std::chrono::milliseconds(1500);
+inline constexpr Duration VoterReplacementTimeout = std::chrono::milliseconds(1500);
 
 // Replicas tell each other this often whom they heard, and all linked nodes which version is in force.
 inline constexpr Duration ReplicaBeatInterval = std::chrono::milliseconds(500);
--- a/src/replicated_core.h
+++ b/src/replicated_core.h
@@ -53,7 +53,7 @@
         typename Machine::Result result; // Of a change that is done.
     };
 
-    ReplicatedCore(ReplicaKey self, RaftDurable durable, TimePoint now, std::uint32_t seed, RaftPolicy policy = {})
+    ReplicatedCore(ReplicaKey self, PersistentRaftState durable, TimePoint now, std::uint32_t seed, RaftPolicy policy = {})
         : m_raft(self, durable, now, seed, policy)
     {
         if (durable.snapshot) {
@@ -115,7 +115,7 @@
         for (const LogEntry &entry : output.committed) {
             applyEntry(entry);
         }
-        for (const ReadReady &read : output.reads) {
+        for (const ConfirmedRead &read : output.reads) {
             m_openReads.erase(read.ticket);
             m_reads.push_back(read);
         }
@@ -183,7 +183,7 @@
 
     void answerReads()
     {
-        std::erase_if(m_reads, [this](const ReadReady &read) {
+        std::erase_if(m_reads, [this](const ConfirmedRead &read) {
             if (read.index > m_applied) {
                 return false;
             }
@@ -213,7 +213,7 @@
     LogIndex m_applied{};
     std::size_t m_appliedBytes = 0; // Of the entries since the last snapshot.
     std::map<LogIndex, Waiting> m_waiting;
-    std::vector<ReadReady> m_reads; // Confirmed, but not applied far enough yet.
+    std::vector<ConfirmedRead> m_reads; // Confirmed, but not applied far enough yet.
     std::set<std::uint64_t> m_openReads; // Asked for and not confirmed.
     std::vector<Reply> m_replies;
 };
--- a/tests/control_cluster.cpp
+++ b/tests/control_cluster.cpp
@@ -381,7 +381,7 @@
         });
         return each.up && !each.frozen && member && each.core->raft().commitIndex() == raft.lastIndex();
     });
-    return alike && members.size() == m_nodes.size() && voters() == std::min(m_options.policy.wantedVoters, m_nodes.size());
+    return alike && members.size() == m_nodes.size() && voters() == std::min(m_options.policy.desiredVoters, m_nodes.size());
 }
 
 std::size_t ControlCluster::voters() const
--- a/tests/control_cluster.h
+++ b/tests/control_cluster.h
@@ -76,7 +76,7 @@
 private:
     struct Node {
         ReplicaKey key;
-        RaftDurable disk;
+        PersistentRaftState disk;
         std::unique_ptr<ControlCore> core;
         bool up = false;
         bool frozen = false;
--- a/tests/test_control.cpp
+++ b/tests/test_control.cpp
@@ -169,9 +169,9 @@
 {
     ClusterOptions options;
     options.seeds = 3;
-    options.policy.wantedVoters = 2 * losses + 1;
+    options.policy.desiredVoters = 2 * losses + 1;
     options.policy.copies = losses + 1;
-    options.policy.lostAfter = milliseconds(1500);
+    options.policy.voterTimeout = milliseconds(1500);
     return options;
 }
 
@@ -311,7 +311,7 @@
     ClusterOptions options;
     options.replicas = replicas;
     options.seeds = 3;
-    options.policy.wantedVoters = 5;
+    options.policy.desiredVoters = 5;
     options.policy.copies = 3;
     ControlCluster cluster(options);
     REQUIRE(cluster.runUntil([&] {
--- a/tests/test_replica_node.cpp
+++ b/tests/test_replica_node.cpp
@@ -5,7 +5,7 @@
 // seeds alone until it has a log, so it dialled those, and the leader, which was no seed, dialled it. The leader's first
 // append, which names the members, was lost, as it was sent before that link was up. The replica refused each later one, but
 // sent its refusals only on links that it had dialled itself, and it had none to the leader; they were dropped without a
-// line. The leader took the silence for a dead learner and dropped it after DropLearnerAfter. The log lines that showed it:
+// line. The leader took the silence for a dead learner and dropped it after LearnerRemovalTimeout. The log lines that showed it:
 // the leader's members-changed with the learner at 8.911 s, a single replica-link-up between the two, joined-cluster and
 // leader-changed commit=0 at the learner at 9.040 s, then no members-changed and no routing-in-force until the leader
 // dropped it at 28.910 s. Balancers that followed it served a dropped route 5.2 s after the change.
@@ -28,7 +28,7 @@
 constexpr std::uint16_t AdminPort = 70; // Names the seeds; nobody listens there.
 
 // The wait in real time for what is due at once; half of the time after which a leader that hears nothing drops a learner.
-constexpr Duration MaxWait = DropLearnerAfter / 2;
+constexpr Duration MaxWait = LearnerRemovalTimeout / 2;
 
 // A loopback port that is free at all of the addresses.
 std::uint16_t freePort(boost::asio::io_context &io, std::size_t addresses)
--- a/tests/test_storage.cpp
+++ b/tests/test_storage.cpp
@@ -63,7 +63,7 @@
 {
     std::size_t count = 0;
     CHECK_FALSE(withStorage(folder, [&count](RaftStorage &storage) -> leaf::result<void> {
-        count = storage.takeDurable().log.size();
+        count = storage.takePersistentState().log.size();
         return {};
     }));
     return count;
@@ -97,7 +97,7 @@
         return storage.persist(outputOf(4, {entryOf(2, 4)}));
     }));
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) -> leaf::result<void> {
-        const RaftDurable durable = storage.takeDurable();
+        const PersistentRaftState durable = storage.takePersistentState();
         CHECK(durable.hard.term == Term{4});
         REQUIRE(durable.log.size() == 2);
         CHECK(durable.log[1] == entryOf(2, 4));
@@ -198,7 +198,7 @@
         return {};
     }));
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) -> leaf::result<void> {
-        const RaftDurable durable = storage.takeDurable();
+        const PersistentRaftState durable = storage.takePersistentState();
         CHECK(durable.snapshot->state == Bytes{1, 2, 3});
         CHECK(durable.hard.term == Term{3});
         CHECK(durable.log.size() == 1);
--- a/tests/test_version_watch.cpp
+++ b/tests/test_version_watch.cpp
@@ -55,7 +55,7 @@
 
 TEST_CASE("a replica that has just restarted does not vouch for its table before its leader has told what is committed")
 {
-    RaftDurable disk = RaftCore::bootstrap(std::vector<ReplicaKey>{{ReplicaId{1}, 1}, {ReplicaId{2}, 1}, {ReplicaId{3}, 1}});
+    PersistentRaftState disk = RaftCore::bootstrap(std::vector<ReplicaKey>{{ReplicaId{1}, 1}, {ReplicaId{2}, 1}, {ReplicaId{3}, 1}});
     constexpr ReplicaKey Leader{ReplicaId{2}, 1};
     const LogIndex held = disk.log.back().index;
     const Term term = disk.log.back().term;
