--- a/src/raft_core.cpp
+++ b/src/raft_core.cpp
@@ -119,7 +119,7 @@
             const bool acked = member.key == m_self || (at != m_progress.end() && at->second.ackedRound >= read.round);
             confirmed += member.voter && acked ? 1 : 0;
         }
-        if (!quorum(confirmed)) {
+        if (!isQuorum(confirmed)) {
             return false;
         }
         m_output.reads.push_back({read.ticket, read.index});
@@ -240,7 +240,7 @@
     }));
 }
 
-bool RaftCore::quorum(std::size_t count) const
+bool RaftCore::isQuorum(std::size_t count) const
 {
     return count > voterCount() / 2;
 }
@@ -253,7 +253,7 @@
         const bool recent = member.key == m_self || (at != m_progress.end() && now - at->second.lastHeard < ElectionTimeout * 2);
         heard += member.voter && recent ? 1 : 0;
     }
-    return quorum(heard);
+    return isQuorum(heard);
 }
 
 Term RaftCore::termAt(LogIndex index) const
--- a/src/raft_core.h
+++ b/src/raft_core.h
@@ -55,7 +55,7 @@
 // How a cluster chooses its members. The default suits a cluster whose replicas are named in settings.
 struct RaftPolicy {
     std::size_t desiredVoters = std::numeric_limits<std::size_t>::max(); // Learners beyond this stay spares.
-    std::size_t copies = 1; // Fewest voters' disks that hold an entry before it is committed.
+    std::size_t minCopies = 1; // Fewest voters' disks that hold an entry before it is committed.
     Duration voterTimeout{}; // A voter that was silent for this long is replaced by a spare; 0: never.
 };
 
@@ -209,12 +209,12 @@
     bool demoteVoter(TimePoint now, ClusterConfig &config) const;
     bool removeLearner(TimePoint now, ClusterConfig &config) const;
     bool readyForPromotion(TimePoint now, const ReplicaMember &member) const;
-    bool silent(TimePoint now, const ReplicaMember &member) const;
+    bool voterTimedOut(TimePoint now, const ReplicaMember &member) const;
     std::size_t otherVotersInDataCentre(const ReplicaMember &member) const;
     void proposeConfig(TimePoint now, const ClusterConfig &config);
     bool configPending() const;
     std::size_t voterCount() const;
-    bool quorum(std::size_t count) const;
+    bool isQuorum(std::size_t count) const;
     bool heardFromQuorum(TimePoint now) const;
     Term termAt(LogIndex index) const;
     Term lastTerm() const;
--- a/src/raft_election.cpp
+++ b/src/raft_election.cpp
@@ -43,7 +43,7 @@
     if (!preVote) {
         setTerm(term, m_self);
     }
-    if (quorum(m_votes.size())) {
+    if (isQuorum(m_votes.size())) {
         return preVote ? campaign(now, false) : becomeLeader(now);
     }
     for (const ReplicaMember &member : config().members) {
@@ -91,7 +91,7 @@
         return;
     }
     m_votes.insert(from);
-    if (quorum(m_votes.size())) {
+    if (isQuorum(m_votes.size())) {
         reply.preVote ? campaign(now, false) : becomeLeader(now);
     }
 }
--- a/src/raft_members.cpp
+++ b/src/raft_members.cpp
@@ -84,7 +84,7 @@
         }
     }
     const bool voterLost = std::any_of(config.members.begin(), config.members.end(), [&](const ReplicaMember &member) {
-        return member.voter && silent(now, member);
+        return member.voter && voterTimedOut(now, member);
     });
     if (spare == nullptr || (voterCount() >= m_policy.desiredVoters && !voterLost)) {
         return false;
@@ -101,7 +101,7 @@
     }
     ReplicaMember *retired = nullptr;
     const auto rank = [&](const ReplicaMember &member) {
-        return std::pair(silent(now, member), otherVotersInDataCentre(member));
+        return std::pair(voterTimedOut(now, member), otherVotersInDataCentre(member));
     };
     for (ReplicaMember &member : config.members) {
         const bool eligible = member.voter && member.key != m_self;
@@ -145,7 +145,7 @@
     return caughtUp && now - progress->second.lastHeard < ElectionTimeout;
 }
 
-bool RaftCore::silent(TimePoint now, const ReplicaMember &member) const
+bool RaftCore::voterTimedOut(TimePoint now, const ReplicaMember &member) const
 {
     const auto progress = m_progress.find(member.key);
     return m_policy.voterTimeout > Duration{0} && progress != m_progress.end() && now - progress->second.lastHeard >= m_policy.voterTimeout;
--- a/src/raft_replication.cpp
+++ b/src/raft_replication.cpp
@@ -222,8 +222,8 @@
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const std::size_t majority = matches.size() / 2 + 1;
-    const std::size_t copies = std::clamp(m_policy.copies, majority, matches.size());
-    const LogIndex agreed = matches[copies - 1];
+    const std::size_t minCopies = std::clamp(m_policy.minCopies, majority, matches.size());
+    const LogIndex agreed = matches[minCopies - 1];
     if (agreed > m_commit && termAt(agreed) == m_hard.term) {
         commitTo(agreed);
     }
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -27,7 +27,7 @@
 {
     RaftPolicy policy;
     policy.desiredVoters = 2 * file.borneLosses + 1;
-    policy.copies = file.borneLosses + 1;
+    policy.minCopies = file.borneLosses + 1;
     policy.voterTimeout = VoterReplacementTimeout;
     return policy;
 }
--- a/tests/test_control.cpp
+++ b/tests/test_control.cpp
@@ -170,7 +170,7 @@
     ClusterOptions options;
     options.seeds = 3;
     options.policy.desiredVoters = 2 * losses + 1;
-    options.policy.copies = losses + 1;
+    options.policy.minCopies = losses + 1;
     options.policy.voterTimeout = milliseconds(1500);
     return options;
 }
@@ -312,7 +312,7 @@
     options.replicas = replicas;
     options.seeds = 3;
     options.policy.desiredVoters = 5;
-    options.policy.copies = 3;
+    options.policy.minCopies = 3;
     ControlCluster cluster(options);
     REQUIRE(cluster.runUntil([&] {
         return cluster.settled();
