--- a/src/raft_core.cpp
+++ b/src/raft_core.cpp
@@ -28,11 +28,11 @@
         adoptConfig(entry);
     }
     m_role = m_configs.empty() ? RaftRole::Joining : RaftRole::Follower;
-    m_leaderHeard = now - ElectionTimeout;
-    m_caughtUp = now - ElectionTimeout * 2;
-    m_ticked = now;
+    m_leaderLastHeard = now - ElectionTimeout;
+    m_lastCaughtUp = now - ElectionTimeout * 2;
+    m_lastTick = now;
     boost::random::uniform_int_distribution<std::int64_t> spread(FirstElectionTimeout.count() / 3, FirstElectionTimeout.count());
-    m_electionDue = now + Duration(spread(m_random));
+    m_electionDeadline = now + Duration(spread(m_random));
     commitTo(std::min(durable.committed, lastIndex()));
 }
 
@@ -214,12 +214,12 @@
 
 bool RaftCore::inContact(TimePoint now) const
 {
-    return m_role == RaftRole::Leader ? heardFromQuorum(now) : now - m_leaderHeard < ElectionTimeout * 2;
+    return m_role == RaftRole::Leader ? heardFromQuorum(now) : now - m_leaderLastHeard < ElectionTimeout * 2;
 }
 
 bool RaftCore::caughtUp(TimePoint now) const
 {
-    return m_role == RaftRole::Leader ? heardFromQuorum(now) : now - m_caughtUp < ElectionTimeout * 2;
+    return m_role == RaftRole::Leader ? heardFromQuorum(now) : now - m_lastCaughtUp < ElectionTimeout * 2;
 }
 
 const LogEntry *RaftCore::entryAt(LogIndex index) const
--- a/src/raft_core.h
+++ b/src/raft_core.h
@@ -232,11 +232,11 @@
     ReplicaKey m_leader;
     LogIndex m_commit{};
     LogIndex m_applied{};
-    TimePoint m_ticked;
-    TimePoint m_electionDue;
-    TimePoint m_heartbeatDue;
-    TimePoint m_leaderHeard;
-    TimePoint m_caughtUp; // When the leader's commit index, as it last told it, was reached.
+    TimePoint m_lastTick;
+    TimePoint m_electionDeadline;
+    TimePoint m_nextHeartbeat;
+    TimePoint m_leaderLastHeard;
+    TimePoint m_lastCaughtUp; // When the leader's commit index, as it last told it, was reached.
     std::set<ReplicaKey> m_votes;
     std::map<ReplicaKey, Progress> m_progress;
     std::map<ReplicaKey, TimePoint> m_joiners; // Asked to be taken in, and when last.
--- a/src/raft_election.cpp
+++ b/src/raft_election.cpp
@@ -11,20 +11,20 @@
 void RaftCore::tick(TimePoint now)
 {
     // After a standstill of this process, what it heard of the others is old although it reads it only now.
-    const bool stoodStill = now - std::exchange(m_ticked, now) >= ElectionTimeout;
+    const bool stoodStill = now - std::exchange(m_lastTick, now) >= ElectionTimeout;
     if (m_role == RaftRole::Leader) {
         if (stoodStill || !heardFromQuorum(now)) {
             // Check-quorum: a leader that is cut off stops believing that it leads.
             becomeFollower(now, m_hard.term, {});
             return;
         }
-        if (now >= m_heartbeatDue) {
+        if (now >= m_nextHeartbeat) {
             broadcast(now);
         }
         updateMembership(now);
         return;
     }
-    if (now < m_electionDue) {
+    if (now < m_electionDeadline) {
         return;
     }
     resetElectionTimer(now);
@@ -55,7 +55,7 @@
 
 void RaftCore::onVoteRequest(TimePoint now, ReplicaKey from, const VoteRequest &request)
 {
-    const bool leaderAlive = m_role == RaftRole::Leader || now - m_leaderHeard < ElectionTimeout;
+    const bool leaderAlive = m_role == RaftRole::Leader || now - m_leaderLastHeard < ElectionTimeout;
     if (leaderAlive && m_leader != from) {
         return; // Nobody may depose a leader that is heard (section 4.2.3).
     }
@@ -128,7 +128,7 @@
 void RaftCore::resetElectionTimer(TimePoint now)
 {
     boost::random::uniform_int_distribution<std::int64_t> spread(0, ElectionTimeout.count());
-    m_electionDue = now + ElectionTimeout + Duration(spread(m_random));
+    m_electionDeadline = now + ElectionTimeout + Duration(spread(m_random));
 }
 
 void RaftCore::setTerm(Term term, ReplicaKey votedFor)
--- a/src/raft_replication.cpp
+++ b/src/raft_replication.cpp
@@ -20,7 +20,7 @@
         return send(from, AppendReply{m_hard.term, false, LogIndex{0}, request.round});
     }
     becomeFollower(now, request.term, from);
-    m_leaderHeard = now;
+    m_leaderLastHeard = now;
     if (request.previousIndex > lastIndex()) {
         return send(from, AppendReply{m_hard.term, false, lastIndex(), request.round});
     }
@@ -42,7 +42,7 @@
     const LogIndex agreed = request.entries.empty() ? previousIndex : std::max(previousIndex, request.entries.back().index);
     commitTo(std::min(request.commit, agreed));
     if (m_commit >= request.commit) {
-        m_caughtUp = now;
+        m_lastCaughtUp = now;
     }
     send(from, AppendReply{m_hard.term, true, agreed, request.round});
 }
@@ -109,7 +109,7 @@
         return send(from, AppendReply{m_hard.term, false, LogIndex{0}, install.round});
     }
     becomeFollower(now, install.term, from);
-    m_leaderHeard = now;
+    m_leaderLastHeard = now;
     const LogIndex covered = install.snapshot.index;
     if (covered > m_commit && covered <= lastIndex() && termAt(covered) == install.snapshot.term) {
         // The log agrees and may hold more that was confirmed; nothing of it may be dropped.
@@ -162,7 +162,7 @@
 void RaftCore::broadcast(TimePoint now)
 {
     ++m_round;
-    m_heartbeatDue = now + RaftHeartbeat;
+    m_nextHeartbeat = now + RaftHeartbeat;
     for (auto &[key, progress] : m_progress) {
         sendAppend(now, key, progress);
     }
