--- a/src/background_file.cpp
+++ b/src/background_file.cpp
@@ -14,18 +14,18 @@
 
 namespace leaf = boost::leaf;
 
-BackgroundFile::BackgroundFile(std::filesystem::path path)
+AsyncFileWriter::AsyncFileWriter(std::filesystem::path path)
     : m_path(std::move(path))
     , m_pool(1)
 {
 }
 
-BackgroundFile::~BackgroundFile()
+AsyncFileWriter::~AsyncFileWriter()
 {
     m_pool.join();
 }
 
-bool BackgroundFile::replace(Bytes bytes)
+bool AsyncFileWriter::replace(Bytes bytes)
 {
     if (m_busy.exchange(true)) {
         return false;
@@ -49,7 +49,7 @@
     return true;
 }
 
-std::uint64_t BackgroundFile::failures() const
+std::uint64_t AsyncFileWriter::failures() const
 {
     return m_failures;
 }
--- a/src/background_file.h
+++ b/src/background_file.h
@@ -11,15 +11,15 @@
 
 namespace Robinrail {
 
-class BackgroundFile
+class AsyncFileWriter
 {
 public:
-    explicit BackgroundFile(std::filesystem::path path);
+    explicit AsyncFileWriter(std::filesystem::path path);
 
     // Waits for a write that is under way.
-    ~BackgroundFile();
-    BackgroundFile(const BackgroundFile &) = delete;
-    BackgroundFile &operator=(const BackgroundFile &) = delete;
+    ~AsyncFileWriter();
+    AsyncFileWriter(const AsyncFileWriter &) = delete;
+    AsyncFileWriter &operator=(const AsyncFileWriter &) = delete;
 
     // Begins to write, whole and synced; false if the write before is still under way. Failures are counted
     // and logged with their reason.
--- a/src/control_daemon.cpp
+++ b/src/control_daemon.cpp
@@ -118,7 +118,7 @@
     if (!reached) {
         return;
     }
-    const RaftEnvelope envelope = m_driver.envelopeOf(send);
+    const RaftEnvelope envelope = m_driver.makeEnvelope(send);
     for (const LinkHandle link : links) {
         m_links.send(link, envelope);
     }
@@ -167,7 +167,7 @@
     }
     if (!std::holds_alternative<JoinRequest>(*message)) {
         const Admission admission = m_driver.admit(envelope);
-        if (admission == Admission::DiskRefused) {
+        if (admission == Admission::StorageFailed) {
             m_io.stop();
         }
         if (admission != Admission::Admitted) {
--- a/src/raft_storage.cpp
+++ b/src/raft_storage.cpp
@@ -65,7 +65,7 @@
     bytes.insert(bytes.end(), payload.begin(), payload.end());
 }
 
-void appendPiece(Bytes &batch, BytesView payload)
+void appendBatchItem(Bytes &batch, BytesView payload)
 {
     storeInteger(batch, static_cast<std::uint32_t>(payload.size()));
     batch.insert(batch.end(), payload.begin(), payload.end());
@@ -93,7 +93,7 @@
 }
 
 // Whether a sound record follows somewhere after `at`: then what is at `at` was damaged, not torn.
-bool soundRecordAfter(BytesView bytes, std::size_t at)
+bool hasValidRecordAfter(BytesView bytes, std::size_t at)
 {
     for (std::size_t probe = at + 1; probe + RecordHeader <= bytes.size(); ++probe) {
         if (recordAt(bytes, probe)) {
@@ -110,7 +110,7 @@
 
 // Turns an error of the file layer into one of this layer.
 template<typename Function>
-auto asStorage(Function function) -> decltype(function())
+auto mapFileErrors(Function function) -> decltype(function())
 {
     using Result = decltype(function());
     return leaf::try_handle_some(function, [](FileError, const FileErrorContext &context) -> Result {
@@ -119,7 +119,7 @@
 }
 
 template<typename T>
-Bytes sealedFile(const T &object)
+Bytes encodeChecksummed(const T &object)
 {
     Bytes bytes;
     appendFramed(bytes, RecordMagic, encodeObject(object));
@@ -127,7 +127,7 @@
 }
 
 template<typename T>
-bool openSealedFile(const Bytes &bytes, T &object)
+bool decodeChecksummed(const Bytes &bytes, T &object)
 {
     const std::optional<BytesView> payload = recordAt(bytes, 0);
     if (!payload || RecordHeader + payload->size() != bytes.size()) {
@@ -169,7 +169,7 @@
 }
 
 // Takes an entry into a log, cutting what it replaces.
-void takeEntry(std::vector<LogEntry> &log, LogEntry entry)
+void appendReplacing(std::vector<LogEntry> &log, LogEntry entry)
 {
     while (!log.empty() && log.back().index >= entry.index) {
         log.pop_back();
@@ -209,14 +209,14 @@
     }
 }
 
-leaf::result<RaftStorage> RaftStorage::open(const std::filesystem::path &folder, ReplicaId replica, std::uint64_t freshDisk)
+leaf::result<RaftStorage> RaftStorage::open(const std::filesystem::path &folder, ReplicaId replica, std::uint64_t newDisk)
 {
     RaftStorage storage;
     storage.m_folder = folder;
     std::error_code ignored;
     std::filesystem::create_directories(folder, ignored);
     const std::filesystem::path identityPath = folder / IdentityFile;
-    BOOST_LEAF_AUTO(found, asStorage([&] {
+    BOOST_LEAF_AUTO(found, mapFileErrors([&] {
                         return readFile(identityPath);
                     }));
     if (!found) {
@@ -224,11 +224,11 @@
             return failure(StorageError::DamagedIdentity, identityPath, "missing beside a log or snapshot");
         }
         storage.m_fresh = true;
-        storage.m_identity = {StorageFormat, 0, replica, freshDisk};
-        BOOST_LEAF_CHECK(asStorage([&] {
-            return replaceFile(identityPath, sealedFile(storage.m_identity));
+        storage.m_identity = {StorageFormat, 0, replica, newDisk};
+        BOOST_LEAF_CHECK(mapFileErrors([&] {
+            return replaceFile(identityPath, encodeChecksummed(storage.m_identity));
         }));
-    } else if (!openSealedFile(*found, storage.m_identity)) {
+    } else if (!decodeChecksummed(*found, storage.m_identity)) {
         return failure(StorageError::DamagedIdentity, identityPath, "checksum or content is wrong");
     }
     if (storage.m_identity.format > StorageFormat) {
@@ -244,10 +244,10 @@
 leaf::result<void> RaftStorage::load()
 {
     const std::filesystem::path snapshotPath = m_folder / SnapshotFile;
-    BOOST_LEAF_AUTO(found, asStorage([&] {
+    BOOST_LEAF_AUTO(found, mapFileErrors([&] {
                         return readFile(snapshotPath);
                     }));
-    if (found && !openSealedFile(*found, m_durable.snapshot.emplace())) {
+    if (found && !decodeChecksummed(*found, m_durable.snapshot.emplace())) {
         return failure(StorageError::DamagedSnapshot, snapshotPath, "checksum or content is wrong");
     }
     BOOST_LEAF_CHECK(loadLog());
@@ -257,7 +257,7 @@
 leaf::result<void> RaftStorage::loadLog()
 {
     const std::filesystem::path path = m_folder / LogFile;
-    BOOST_LEAF_AUTO(found, asStorage([&] {
+    BOOST_LEAF_AUTO(found, mapFileErrors([&] {
                         return readFile(path);
                     }));
     const Bytes bytes = found ? std::move(*found) : Bytes();
@@ -275,13 +275,13 @@
             if (const auto *hard = std::get_if<HardState>(&record)) {
                 m_durable.hard = *hard;
             } else {
-                takeEntry(m_durable.log, std::get<LogEntry>(std::move(record)));
+                appendReplacing(m_durable.log, std::get<LogEntry>(std::move(record)));
             }
         }
         at += RecordHeader + payload->size();
     }
     if (at < bytes.size()) {
-        if (soundRecordAfter(bytes, at)) {
+        if (hasValidRecordAfter(bytes, at)) {
             return failure(StorageError::DamagedLog, path, "damaged record at byte " + std::to_string(at));
         }
         // A torn tail was never synced, hence never acknowledged.
@@ -316,7 +316,7 @@
     if (m_log < 0) {
         return failure(StorageError::Io, path, std::strerror(errno));
     }
-    return asStorage([&] {
+    return mapFileErrors([&] {
         return syncFolder(m_folder);
     });
 }
@@ -342,8 +342,8 @@
         return failure(StorageError::ForeignFolder, m_folder / IdentityFile, "folder of another cluster");
     }
     m_identity.cluster = cluster;
-    return asStorage([&] {
-        return replaceFile(m_folder / IdentityFile, sealedFile(m_identity));
+    return mapFileErrors([&] {
+        return replaceFile(m_folder / IdentityFile, encodeChecksummed(m_identity));
     });
 }
 
@@ -357,10 +357,10 @@
     Bytes batch;
     if (output.hard) {
         m_hard = *output.hard;
-        appendPiece(batch, encodeMessage(LogRecord(*output.hard)));
+        appendBatchItem(batch, encodeMessage(LogRecord(*output.hard)));
     }
     for (const LogEntry &entry : output.entries) {
-        appendPiece(batch, encodeMessage(LogRecord(entry)));
+        appendBatchItem(batch, encodeMessage(LogRecord(entry)));
     }
     if (batch.empty()) {
         return {};
@@ -373,17 +373,17 @@
 leaf::result<void> RaftStorage::compact(const Snapshot &snapshot, const HardState &hard, std::span<const LogEntry> rest)
 {
     m_hard = hard;
-    BOOST_LEAF_CHECK(asStorage([&] {
-        return replaceFile(m_folder / SnapshotFile, sealedFile(snapshot));
+    BOOST_LEAF_CHECK(mapFileErrors([&] {
+        return replaceFile(m_folder / SnapshotFile, encodeChecksummed(snapshot));
     }));
     Bytes batch;
-    appendPiece(batch, encodeMessage(LogRecord(hard)));
+    appendBatchItem(batch, encodeMessage(LogRecord(hard)));
     for (const LogEntry &entry : rest) {
-        appendPiece(batch, encodeMessage(LogRecord(entry)));
+        appendBatchItem(batch, encodeMessage(LogRecord(entry)));
     }
     Bytes bytes;
     appendFramed(bytes, BatchMagic, batch);
-    BOOST_LEAF_CHECK(asStorage([&] {
+    BOOST_LEAF_CHECK(mapFileErrors([&] {
         return replaceFile(m_folder / LogFile, bytes);
     }));
     m_logBytes = bytes.size();
@@ -397,7 +397,7 @@
 
 leaf::result<void> RaftStorage::append(BytesView bytes)
 {
-    BOOST_LEAF_CHECK(asStorage([&] {
+    BOOST_LEAF_CHECK(mapFileErrors([&] {
         return appendAndSync(m_log, m_folder / LogFile, bytes);
     }));
     m_logBytes += bytes.size();
--- a/src/raft_storage.h
+++ b/src/raft_storage.h
@@ -50,9 +50,9 @@
 class RaftStorage
 {
 public:
-    // Opens the folder of a replica, making it with the disk number `freshDisk` if it is empty.
+    // Opens the folder of a replica, making it with the disk number `newDisk` if it is empty.
     // A torn record at the end of the log is cut off; see StorageError for all that is refused.
-    static boost::leaf::result<RaftStorage> open(const std::filesystem::path &folder, ReplicaId replica, std::uint64_t freshDisk);
+    static boost::leaf::result<RaftStorage> open(const std::filesystem::path &folder, ReplicaId replica, std::uint64_t newDisk);
 
     RaftStorage(RaftStorage &&other) noexcept;
     RaftStorage &operator=(RaftStorage &&other) noexcept;
--- a/src/replica_driver.cpp
+++ b/src/replica_driver.cpp
@@ -14,7 +14,7 @@
 
 // Runs a step of the storage; false with a line in the log if it failed.
 template<typename Step>
-bool worksOrLog(Step step)
+bool succeedsOrLog(Step step)
 {
     return leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
@@ -35,7 +35,7 @@
 
 bool persistOrLog(RaftStorage &storage, const RaftOutput &output)
 {
-    return worksOrLog([&] {
+    return succeedsOrLog([&] {
         return storage.persist(output);
     });
 }
@@ -51,11 +51,11 @@
         return Admission::Rejected;
     }
     if (cluster == 0 && envelope.cluster != 0) {
-        const bool joined = worksOrLog([&] {
+        const bool joined = succeedsOrLog([&] {
             return storage.setCluster(envelope.cluster);
         });
         if (!joined) {
-            return Admission::DiskRefused;
+            return Admission::StorageFailed;
         }
         LogLine(LogLevel::Info, "joined-cluster").with("cluster", envelope.cluster);
     }
--- a/src/replica_driver.h
+++ b/src/replica_driver.h
@@ -15,7 +15,7 @@
 enum class Admission : std::uint8_t {
     Admitted,
     Rejected, // It is meant for another disk, or comes from another cluster.
-    DiskRefused, // The cluster that it makes this replica join could not be written.
+    StorageFailed, // The cluster that it makes this replica join could not be written.
 };
 
 namespace detail {
@@ -79,7 +79,7 @@
     }
 
     // A message on its way to a peer.
-    RaftEnvelope envelopeOf(const RaftSend &send) const
+    RaftEnvelope makeEnvelope(const RaftSend &send) const
     {
         return {m_storage.identity().cluster, self(), send.to, encodeMessage(send.message)};
     }
--- a/src/replica_folder.cpp
+++ b/src/replica_folder.cpp
@@ -19,13 +19,13 @@
 namespace {
 
 // The disk number of every seed at the first start; all others are drawn at random above it.
-constexpr std::uint64_t FirstDisk = 1;
+constexpr std::uint64_t BootstrapDisk = 1;
 
 std::uint64_t randomDisk()
 {
     std::random_device device;
     const std::uint64_t drawn = (std::uint64_t{device()} << 32U) | device();
-    return std::max(drawn, FirstDisk + 1);
+    return std::max(drawn, BootstrapDisk + 1);
 }
 
 // All seeds derive the same cluster number from each other.
@@ -39,14 +39,14 @@
 }
 
 // At the first start of all, the seeds are the voters, and each seed writes the same beginning of the log.
-leaf::result<RaftStorage> beginCluster(RaftStorage storage, const SteeringFile &file, ReplicaId self)
+leaf::result<RaftStorage> bootstrapCluster(RaftStorage storage, const SteeringFile &file, ReplicaId self)
 {
     std::vector<ReplicaKey> voters;
     for (const Endpoint &seed : file.seeds) {
-        voters.push_back({ReplicaId{seed.address}, FirstDisk});
+        voters.push_back({ReplicaId{seed.address}, BootstrapDisk});
     }
     std::sort(voters.begin(), voters.end());
-    const bool isSeed = std::find(voters.begin(), voters.end(), ReplicaKey{self, FirstDisk}) != voters.end();
+    const bool isSeed = std::find(voters.begin(), voters.end(), ReplicaKey{self, BootstrapDisk}) != voters.end();
     if (!isSeed || storage.identity().cluster != 0) {
         return storage;
     }
@@ -56,17 +56,17 @@
     first.entries = beginning.log;
     BOOST_LEAF_CHECK(storage.persist(first));
     BOOST_LEAF_CHECK(storage.setCluster(clusterOf(voters)));
-    return RaftStorage::open(file.dataFolder, self, FirstDisk);
+    return RaftStorage::open(file.dataFolder, self, BootstrapDisk);
 }
 
 } // namespace
 
-leaf::result<RaftStorage> openReplicaFolder(const SteeringFile &file, ReplicaId self)
+leaf::result<RaftStorage> openReplicaStorage(const SteeringFile &file, ReplicaId self)
 {
-    const std::uint64_t disk = file.firstStart ? FirstDisk : randomDisk();
+    const std::uint64_t disk = file.firstStart ? BootstrapDisk : randomDisk();
     BOOST_LEAF_AUTO(storage, RaftStorage::open(file.dataFolder, self, disk));
     if (file.firstStart) {
-        return beginCluster(std::move(storage), file, self);
+        return bootstrapCluster(std::move(storage), file, self);
     }
     return storage;
 }
--- a/src/replica_members.cpp
+++ b/src/replica_members.cpp
@@ -75,7 +75,7 @@
 void ReplicaNode::sendRaft(const RaftSend &send)
 {
     if (const LinkHandle link = linkFor(send.to.id); link != 0) {
-        m_links.send(link, m_driver->envelopeOf(send));
+        m_links.send(link, m_driver->makeEnvelope(send));
     }
 }
 
@@ -108,7 +108,7 @@
         return onJoin(envelope, *join);
     }
     const Admission admission = m_driver->admit(envelope);
-    if (admission == Admission::DiskRefused) {
+    if (admission == Admission::StorageFailed) {
         return loseStorage(monotonicNow());
     }
     if (admission == Admission::Rejected) {
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -96,7 +96,7 @@
     m_storageDue = now + StorageRetry;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
-            BOOST_LEAF_AUTO(storage, openReplicaFolder(m_file, m_self));
+            BOOST_LEAF_AUTO(storage, openReplicaStorage(m_file, m_self));
             const std::uint64_t disk = storage.identity().disk;
             const RecoveryNotes notes = readRecoveryNotes(m_file.dataFolder / NotesFile, disk);
             m_driver.emplace(std::move(storage), now, std::random_device()(), policyOf(m_file), notes.committed);
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -144,7 +144,7 @@
     NodeLinks m_links;
     BasicTargetExchange<NodeLinks> m_targets;
     TargetProber m_prober;
-    BackgroundFile m_notes;
+    AsyncFileWriter m_notes;
     bool m_notesDue = false;
     boost::asio::steady_timer m_timer;
     std::map<std::uint64_t, Respond> m_open; // By ticket.
--- a/tests/test_replica.cpp
+++ b/tests/test_replica.cpp
@@ -38,7 +38,7 @@
 {
     return leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
-            BOOST_LEAF_AUTO(storage, openReplicaFolder(file, self));
+            BOOST_LEAF_AUTO(storage, openReplicaStorage(file, self));
             use(std::move(storage));
             return true;
         },
@@ -88,7 +88,7 @@
         CHECK(driver.admit(envelopeTo({ReplicaId{4}, 99}, 5)) == Admission::Rejected);
         CHECK(driver.admit(envelopeTo(driver.self(), 5)) == Admission::Admitted);
         CHECK(driver.admit(envelopeTo(driver.self(), 6)) == Admission::Rejected);
-        CHECK(driver.envelopeOf({{ReplicaId{1}, 1}, JoinRequest{driver.self()}}).cluster == 5);
+        CHECK(driver.makeEnvelope({{ReplicaId{1}, 1}, JoinRequest{driver.self()}}).cluster == 5);
     }));
 }
 
@@ -152,7 +152,7 @@
 TEST_CASE("a file that can't be replaced in the background is counted")
 {
     const Folder folder;
-    BackgroundFile file(folder.path() / "missing" / "notes");
+    AsyncFileWriter file(folder.path() / "missing" / "notes");
     CHECK(file.replace(Bytes{1}));
     while (file.failures() == 0) {
         std::this_thread::yield();
