--- a/src/main_control.cpp
+++ b/src/main_control.cpp
@@ -46,7 +46,7 @@
 // Makes a fresh folder the beginning of a new cluster.
 leaf::result<void> bootstrap(RaftStorage &storage, const ControlFile &file)
 {
-    if (!storage.fresh()) {
+    if (!storage.newlyCreated()) {
         return leaf::new_error(StorageError::ForeignFolder, StorageContext{file.dataFolder.string(), "--bootstrap needs an empty folder"});
     }
     BOOST_LEAF_CHECK(storage.setCluster(randomNumber()));
--- a/src/raft_storage.cpp
+++ b/src/raft_storage.cpp
@@ -184,7 +184,7 @@
     , m_identity(other.m_identity)
     , m_durable(std::move(other.m_durable))
     , m_hard(other.m_hard)
-    , m_fresh(other.m_fresh)
+    , m_newlyCreated(other.m_newlyCreated)
     , m_log(std::exchange(other.m_log, -1))
     , m_logBytes(other.m_logBytes)
 {
@@ -196,7 +196,7 @@
     std::swap(m_identity, other.m_identity);
     std::swap(m_durable, other.m_durable);
     std::swap(m_hard, other.m_hard);
-    std::swap(m_fresh, other.m_fresh);
+    std::swap(m_newlyCreated, other.m_newlyCreated);
     std::swap(m_log, other.m_log);
     std::swap(m_logBytes, other.m_logBytes);
     return *this;
@@ -223,7 +223,7 @@
         if (std::filesystem::exists(folder / LogFile) || std::filesystem::exists(folder / SnapshotFile)) {
             return failure(StorageError::DamagedIdentity, identityPath, "missing beside a log or snapshot");
         }
-        storage.m_fresh = true;
+        storage.m_newlyCreated = true;
         storage.m_identity = {StorageFormat, 0, replica, newDisk};
         BOOST_LEAF_CHECK(mapFileErrors([&] {
             return replaceFile(identityPath, encodeChecksummed(storage.m_identity));
@@ -331,9 +331,9 @@
     return std::exchange(m_durable, {});
 }
 
-bool RaftStorage::fresh() const
+bool RaftStorage::newlyCreated() const
 {
-    return m_fresh;
+    return m_newlyCreated;
 }
 
 leaf::result<void> RaftStorage::setCluster(std::uint64_t cluster)
--- a/src/raft_storage.h
+++ b/src/raft_storage.h
@@ -66,7 +66,7 @@
     PersistentRaftState takePersistentState();
 
     // Whether the folder was empty at opening.
-    bool fresh() const;
+    bool newlyCreated() const;
 
     // Sets the cluster once, on bootstrap or on joining.
     boost::leaf::result<void> setCluster(std::uint64_t cluster);
@@ -91,7 +91,7 @@
     StorageIdentity m_identity;
     PersistentRaftState m_durable;
     HardState m_hard;
-    bool m_fresh = false;
+    bool m_newlyCreated = false;
     int m_log = -1;
     std::uint64_t m_logBytes = 0;
 };
--- a/tests/test_storage.cpp
+++ b/tests/test_storage.cpp
@@ -50,7 +50,7 @@
 void writeThree(const fs::path &folder)
 {
     CHECK_FALSE(withStorage(folder, [](RaftStorage &storage) -> leaf::result<void> {
-        CHECK(storage.fresh());
+        CHECK(storage.newlyCreated());
         BOOST_LEAF_CHECK(storage.setCluster(5));
         // Three writes, as each write is one batch.
         BOOST_LEAF_CHECK(storage.persist(outputOf(3, {entryOf(1, 1)})));
@@ -91,7 +91,7 @@
     const Folder folder;
     writeThree(folder.path());
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) -> leaf::result<void> {
-        CHECK_FALSE(storage.fresh());
+        CHECK_FALSE(storage.newlyCreated());
         CHECK(storage.identity().cluster == 5);
         CHECK(storage.identity().disk == 77);
         return storage.persist(outputOf(4, {entryOf(2, 4)}));
