--- a/src/control_daemon.cpp
+++ b/src/control_daemon.cpp
@@ -94,7 +94,7 @@
 
 void ControlDaemon::flush()
 {
-    const bool works = m_driver.round([this](const RaftSend &send) {
+    const bool works = m_driver.processOutput([this](const RaftSend &send) {
         sendRaft(send);
     });
     if (!works) {
--- a/src/replica_driver.h
+++ b/src/replica_driver.h
@@ -59,7 +59,7 @@
     // One round: what the core wants is persisted and synced, then sent, then applied. False if the disk
     // refused: nothing may be acknowledged any more.
     template<typename Send>
-    bool round(Send send)
+    bool processOutput(Send send)
     {
         const RaftOutput output = m_core.takeOutput();
         if (output.mustSync() && !persist(output)) {
@@ -69,7 +69,7 @@
             send(each);
         }
         m_core.apply(output);
-        return !m_core.compactIfDue() || persist(compacted());
+        return !m_core.compactIfDue() || persist(compactionOutput());
     }
 
     // How long writes with their syncs took.
@@ -112,7 +112,7 @@
     }
 
     // The snapshot that the core has just made, and the entries behind it.
-    RaftOutput compacted() const
+    RaftOutput compactionOutput() const
     {
         RaftOutput output;
         output.snapshot = m_core.raft().snapshot();
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -191,7 +191,7 @@
         return;
     }
     const LogIndex committed = raft().commitIndex();
-    const bool works = m_driver->round([this](const RaftSend &send) {
+    const bool works = m_driver->processOutput([this](const RaftSend &send) {
         sendRaft(send);
     });
     if (!works) {
--- a/tests/test_replica.cpp
+++ b/tests/test_replica.cpp
@@ -102,14 +102,14 @@
         const auto send = [&sent](const RaftSend &) {
             ++sent;
         };
-        CHECK(driver.round(send));
+        CHECK(driver.processOutput(send));
         const std::uint64_t written = fs::file_size(file.dataFolder / "log");
         const FullDisk full(written);
         // The election that is due can't be written, so nobody may be asked for a vote.
         driver.core().tick(Start + std::chrono::seconds(5));
         driver.core().handle(Start + std::chrono::seconds(5), {ReplicaId{2}, 1}, VoteReply{Term{2}, true, true});
         sent = 0;
-        CHECK_FALSE(driver.round(send));
+        CHECK_FALSE(driver.processOutput(send));
         CHECK(sent == 0);
     }));
 }
