--- a/src/control_daemon.h
+++ b/src/control_daemon.h
@@ -73,7 +73,7 @@
     std::map<std::uint64_t, OpenRequest> m_open;
     std::uint64_t m_lastTicket = 0;
     std::uint64_t m_seenVersion = 0;
-    ReachWatch m_reach;
+    ReachabilityTracker m_reach;
     bool m_flushScheduled = false;
     TimePoint m_nextJoin;
     TimePoint m_nextBeat;
--- a/src/reach_watch.h
+++ b/src/reach_watch.h
@@ -10,17 +10,17 @@
 
 namespace Robinrail {
 
-class ReachWatch
+class ReachabilityTracker
 {
 public:
     // A message to a replica found a link, or none. Whether that is news since the message before it.
     bool note(ReplicaId replica, bool linked)
     {
         if (linked) {
-            return m_unreached.erase(replica) > 0;
+            return m_unreachable.erase(replica) > 0;
         }
         ++m_unsent;
-        return m_unreached.insert(replica).second;
+        return m_unreachable.insert(replica).second;
     }
 
     // Messages that found no link so far.
@@ -30,7 +30,7 @@
     }
 
 private:
-    std::set<ReplicaId> m_unreached;
+    std::set<ReplicaId> m_unreachable;
     std::uint64_t m_unsent = 0;
 };
 
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -349,7 +349,7 @@
     } else if (const auto *heard = std::get_if<TargetsHeard>(&message)) {
         m_targets.onHeard(monotonicNow(), link, *heard);
     } else if (const auto *offered = std::get_if<RoutingOffer>(&message)) {
-        m_versions.sawInForce(offered->progress);
+        m_versions.observeInForce(offered->progress);
     } else if (const auto *receipts = std::get_if<TargetReceipts>(&message)) {
         m_targets.onReceipts(monotonicNow(), {peer.replica, peer.dataCentre}, *receipts);
     } else if (const auto *digest = std::get_if<DirectoryDigest>(&message)) {
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -155,13 +155,13 @@
     TimePoint m_nextList;
     bool m_listDue = false; // Balancers must hear of a change of the replicas or of where they are.
     RoutingOffer m_offered; // What the balancers were last told.
-    VersionWatch m_versions; // Of the other replicas.
+    VersionTracker m_versions; // Of the other replicas.
     Bytes m_encodedTable; // As a message, of m_encodedVersion.
     std::uint64_t m_encodedVersion = 0;
     std::map<ReplicaId, DataCentreId> m_dataCentres;
     ClusterConfig m_followed;
     ReplicaKey m_loggedLeader;
-    ReachWatch m_reach;
+    ReachabilityTracker m_reach;
     bool m_lags = false; // It hears its leader and lacks what is committed, as of the last beat.
     std::uint64_t m_refusedMessages = 0; // Of consensus.
     LogBudget m_unreadableLog;
--- a/src/version_watch.h
+++ b/src/version_watch.h
@@ -24,11 +24,11 @@
     }
 };
 
-class VersionWatch
+class VersionTracker
 {
 public:
     // Another replica has this in force.
-    void sawInForce(const RoutingProgress &progress)
+    void observeInForce(const RoutingProgress &progress)
     {
         m_highest.version = std::max(m_highest.version, progress.version);
         m_highest.drainRevision = std::max(m_highest.drainRevision, progress.drainRevision);
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -328,7 +328,7 @@
 TEST_CASE("a replica that is not reached is news once, and so is that it is reached again, while each lost message counts")
 {
     constexpr ReplicaId Peer{7};
-    ReachWatch watch;
+    ReachabilityTracker watch;
     CHECK_FALSE(watch.note(Peer, true));
     CHECK(watch.note(Peer, false));
     CHECK_FALSE(watch.note(Peer, false));
--- a/tests/test_version_watch.cpp
+++ b/tests/test_version_watch.cpp
@@ -17,16 +17,16 @@
 
 TEST_CASE("a replica that lags behind another one does not vouch for its version, although it hears its leader")
 {
-    VersionWatch watch;
+    VersionTracker watch;
     CHECK(watch.newest(true, {}));
-    watch.sawInForce({11, 0});
+    watch.observeInForce({11, 0});
     CHECK_FALSE(watch.newest(true, {5, 0}));
     CHECK(watch.newest(true, {11, 0}));
-    watch.sawInForce({5, 0}); // One that lags even more.
+    watch.observeInForce({5, 0}); // One that lags even more.
     CHECK_FALSE(watch.newest(true, {5, 0}));
     CHECK(watch.newest(true, {14, 0}));
     CHECK_FALSE(watch.newest(false, {14, 0}));
-    watch.sawInForce({5, 2});
+    watch.observeInForce({5, 2});
     CHECK_FALSE(watch.newest(true, {14, 1}));
     CHECK(watch.newest(true, {14, 2}));
 }
@@ -36,7 +36,7 @@
     constexpr ReplicaKey Leader{ReplicaId{2}, 1};
     constexpr std::uint64_t Confirmed = 11;
     RaftCore follower({ReplicaId{1}, 1}, {}, Start, 7);
-    VersionWatch watch;
+    VersionTracker watch;
     for (TimePoint now = Start; now < Start + seconds(10); now += RaftHeartbeat) {
         AppendRequest heartbeat;
         heartbeat.term = Term{3};
@@ -48,7 +48,7 @@
         CHECK(follower.inContact(now));
         CHECK(follower.commitIndex() == LogIndex{0});
         CHECK_FALSE(follower.caughtUp(now));
-        watch.sawInForce({Confirmed, 0});
+        watch.observeInForce({Confirmed, 0});
         CHECK_FALSE(watch.newest(follower.inContact(now), {5, 0}));
     }
 }
