--- a/src/control_daemon.cpp
+++ b/src/control_daemon.cpp
@@ -112,7 +112,7 @@
 {
     const std::vector<LinkHandle> links = m_links.linksTo(PeerRole::Control, static_cast<std::uint16_t>(value(send.to.id)));
     const bool reached = !links.empty();
-    if (m_reach.note(send.to.id, reached)) {
+    if (m_reach.recordSend(send.to.id, reached)) {
         LogLine(reached ? LogLevel::Info : LogLevel::Warning, reached ? "replica-reached" : "replica-unreached").with("replica", value(send.to.id));
     }
     if (!reached) {
--- a/src/reach_watch.h
+++ b/src/reach_watch.h
@@ -14,7 +14,7 @@
 {
 public:
     // A message to a replica found a link, or none. Whether that is news since the message before it.
-    bool note(ReplicaId replica, bool linked)
+    bool recordSend(ReplicaId replica, bool linked)
     {
         if (linked) {
             return m_unreachable.erase(replica) > 0;
--- a/src/replica_members.cpp
+++ b/src/replica_members.cpp
@@ -84,7 +84,7 @@
 {
     const LinkHandle link = m_links.linkTo(replica);
     const bool reached = link != 0;
-    if (m_reach.note(replica, reached)) {
+    if (m_reach.recordSend(replica, reached)) {
         LogLine(reached ? LogLevel::Info : LogLevel::Warning, reached ? "replica-reached" : "replica-unreached").with("replica", toText(replica));
     }
     return link;
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -329,12 +329,12 @@
 {
     constexpr ReplicaId Peer{7};
     ReachabilityTracker watch;
-    CHECK_FALSE(watch.note(Peer, true));
-    CHECK(watch.note(Peer, false));
-    CHECK_FALSE(watch.note(Peer, false));
-    CHECK(watch.note(ReplicaId{8}, false));
-    CHECK(watch.note(Peer, true));
-    CHECK_FALSE(watch.note(Peer, true));
+    CHECK_FALSE(watch.recordSend(Peer, true));
+    CHECK(watch.recordSend(Peer, false));
+    CHECK_FALSE(watch.recordSend(Peer, false));
+    CHECK(watch.recordSend(ReplicaId{8}, false));
+    CHECK(watch.recordSend(Peer, true));
+    CHECK_FALSE(watch.recordSend(Peer, true));
     CHECK(watch.unsent() == 3);
 }
 
