--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -228,7 +228,7 @@
 
 bool ReplicaNode::confirmed(TimePoint now) const
 {
-    return m_driver && m_versions.newest(raft().caughtUp(now), progress());
+    return m_driver && m_versions.isNewest(raft().caughtUp(now), progress());
 }
 
 RoutingProgress ReplicaNode::progress() const
--- a/src/version_watch.h
+++ b/src/version_watch.h
@@ -35,7 +35,7 @@
     }
 
     // `caughtUp`: this replica held all that its quorum or its leader had of late. `own`: what it has in force.
-    bool newest(bool caughtUp, const RoutingProgress &own) const
+    bool isNewest(bool caughtUp, const RoutingProgress &own) const
     {
         return caughtUp && own.reaches(m_highest);
     }
--- a/tests/test_version_watch.cpp
+++ b/tests/test_version_watch.cpp
@@ -18,17 +18,17 @@
 TEST_CASE("a replica that lags behind another one does not vouch for its version, although it hears its leader")
 {
     VersionTracker watch;
-    CHECK(watch.newest(true, {}));
+    CHECK(watch.isNewest(true, {}));
     watch.observeInForce({11, 0});
-    CHECK_FALSE(watch.newest(true, {5, 0}));
-    CHECK(watch.newest(true, {11, 0}));
+    CHECK_FALSE(watch.isNewest(true, {5, 0}));
+    CHECK(watch.isNewest(true, {11, 0}));
     watch.observeInForce({5, 0}); // One that lags even more.
-    CHECK_FALSE(watch.newest(true, {5, 0}));
-    CHECK(watch.newest(true, {14, 0}));
-    CHECK_FALSE(watch.newest(false, {14, 0}));
+    CHECK_FALSE(watch.isNewest(true, {5, 0}));
+    CHECK(watch.isNewest(true, {14, 0}));
+    CHECK_FALSE(watch.isNewest(false, {14, 0}));
     watch.observeInForce({5, 2});
-    CHECK_FALSE(watch.newest(true, {14, 1}));
-    CHECK(watch.newest(true, {14, 2}));
+    CHECK_FALSE(watch.isNewest(true, {14, 1}));
+    CHECK(watch.isNewest(true, {14, 2}));
 }
 
 TEST_CASE("a follower that lost an entry hears its leader for as long as its refusals do not get through")
@@ -49,7 +49,7 @@
         CHECK(follower.commitIndex() == LogIndex{0});
         CHECK_FALSE(follower.caughtUp(now));
         watch.observeInForce({Confirmed, 0});
-        CHECK_FALSE(watch.newest(follower.inContact(now), {5, 0}));
+        CHECK_FALSE(watch.isNewest(follower.inContact(now), {5, 0}));
     }
 }
 
