--- a/src/routing_state.h
+++ b/src/routing_state.h
@@ -114,7 +114,7 @@
     RoutingResult applyDocument(RoutingDocument document)
     {
         const std::uint64_t held = m_document.table.version;
-        const VersionVerdict verdict = Order::judge(held, held, document.table.version);
+        const VersionVerdict verdict = Order::evaluate(held, held, document.table.version);
         if (verdict == VersionVerdict::Apply) {
             m_document = std::move(document);
         }
--- a/src/version_order.h
+++ b/src/version_order.h
@@ -19,13 +19,13 @@
 concept VersionOrder = requires(std::uint64_t version)
 {
     {
-        O::judge(version, version, version)
+        O::evaluate(version, version, version)
         } -> std::same_as<VersionVerdict>;
 };
 
 // Each change names the version that it replaces, so that of two racing changes one is told to think again.
 struct CompareAndSet {
-    static VersionVerdict judge(std::uint64_t held, std::uint64_t base, std::uint64_t /*proposed*/)
+    static VersionVerdict evaluate(std::uint64_t held, std::uint64_t base, std::uint64_t /*proposed*/)
     {
         return base == held ? VersionVerdict::Apply : VersionVerdict::Conflict;
     }
@@ -34,7 +34,7 @@
 // The highest version holds, whatever it was built on. Resending is harmless: a version that is not above
 // the held one changes nothing.
 struct HighestVersion {
-    static VersionVerdict judge(std::uint64_t held, std::uint64_t /*base*/, std::uint64_t proposed)
+    static VersionVerdict evaluate(std::uint64_t held, std::uint64_t /*base*/, std::uint64_t proposed)
     {
         return proposed > held ? VersionVerdict::Apply : VersionVerdict::Superseded;
     }
--- a/tests/test_targets.cpp
+++ b/tests/test_targets.cpp
@@ -315,11 +315,11 @@
 
 TEST_CASE("the highest version holds under one order, the expected base under the other")
 {
-    CHECK(HighestVersion::judge(7, 0, 9) == VersionVerdict::Apply);
-    CHECK(HighestVersion::judge(7, 7, 7) == VersionVerdict::Superseded);
-    CHECK(HighestVersion::judge(7, 7, 3) == VersionVerdict::Superseded);
-    CHECK(CompareAndSet::judge(7, 7, 8) == VersionVerdict::Apply);
-    CHECK(CompareAndSet::judge(7, 6, 8) == VersionVerdict::Conflict);
+    CHECK(HighestVersion::evaluate(7, 0, 9) == VersionVerdict::Apply);
+    CHECK(HighestVersion::evaluate(7, 7, 7) == VersionVerdict::Superseded);
+    CHECK(HighestVersion::evaluate(7, 7, 3) == VersionVerdict::Superseded);
+    CHECK(CompareAndSet::evaluate(7, 7, 8) == VersionVerdict::Apply);
+    CHECK(CompareAndSet::evaluate(7, 6, 8) == VersionVerdict::Conflict);
 
     RoutingState state;
     RoutingDocument document{"second", tableOf(9)};
