--- a/src/control_daemon_api.cpp
+++ b/src/control_daemon_api.cpp
@@ -88,11 +88,11 @@
     const OpenRequest open = std::move(at->second);
     m_open.erase(at);
     switch (answer.status) {
-    case ControlStatus::NotLeader:
+    case RequestStatus::NotLeader:
         return open.respond(notLeader());
-    case ControlStatus::Unknown:
+    case RequestStatus::Unknown:
         return open.respond(errorReply(HttpUnavailable, "outcome-unknown", "send the same change again"));
-    case ControlStatus::Done:
+    case RequestStatus::Done:
         break;
     }
     if (open.answer) {
--- a/src/replica_calls.cpp
+++ b/src/replica_calls.cpp
@@ -12,18 +12,18 @@
 void ReplicaNode::announce(const TargetRecord &record, Respond respond)
 {
     m_targets.announce(monotonicNow(), record, [respond = std::move(respond)](bool taken) {
-        respond(taken ? ReplicaAnswer::Done : ReplicaAnswer::Unavailable);
+        respond(taken ? CallOutcome::Done : CallOutcome::Unavailable);
     });
 }
 
 void ReplicaNode::leave(TargetKey key, std::uint64_t born, Respond respond)
 {
     m_targets.leave(monotonicNow(), key, born, [respond = std::move(respond)](bool taken) {
-        respond(taken ? ReplicaAnswer::Done : ReplicaAnswer::Unavailable);
+        respond(taken ? CallOutcome::Done : CallOutcome::Unavailable);
     });
 }
 
-void ReplicaNode::countRefused(std::string_view call, std::string_view reason)
+void ReplicaNode::countRefusedCall(std::string_view call, std::string_view reason)
 {
     ++m_refusedCalls;
     if (const auto leftOut = m_refusedLog.take(monotonicNow())) {
@@ -31,7 +31,7 @@
     }
 }
 
-std::optional<Endpoint> ReplicaNode::announceAt(const TargetRecord &record) const
+std::optional<Endpoint> ReplicaNode::announcementEndpoint(const TargetRecord &record) const
 {
     const std::optional<ReplicaId> replica = announcementReplica(record, reachableReplicas());
     return replica ? std::optional(Endpoint{value(*replica), m_file.adminListen.port}) : std::nullopt;
@@ -42,11 +42,11 @@
 void ReplicaNode::submit(const RoutingDocument &routing, Respond respond)
 {
     if (!m_driver) {
-        return respond(ReplicaAnswer::Unavailable);
+        return respond(CallOutcome::Unavailable);
     }
     if (document().table.version >= routing.table.version) {
         // What is held is committed, so this is true at any replica, however far it lags.
-        return respond(ReplicaAnswer::Done);
+        return respond(CallOutcome::Done);
     }
     propose(routing, std::move(respond));
 }
@@ -55,7 +55,7 @@
 void ReplicaNode::submit(const DataCentreOrder &order, Respond respond)
 {
     if (!m_driver) {
-        return respond(ReplicaAnswer::Unavailable);
+        return respond(CallOutcome::Unavailable);
     }
     propose(order, std::move(respond));
 }
@@ -63,8 +63,8 @@
 void ReplicaNode::propose(const RoutingChange &change, Respond respond)
 {
     ++m_changes;
-    m_open[++m_lastTicket] = [this, began = monotonicNow(), respond = std::move(respond)](ReplicaAnswer answer) {
-        if (answer == ReplicaAnswer::Done) {
+    m_open[++m_lastTicket] = [this, began = monotonicNow(), respond = std::move(respond)](CallOutcome answer) {
+        if (answer == CallOutcome::Done) {
             m_commitTimes.record(monotonicNow() - began);
         }
         respond(answer);
@@ -76,7 +76,7 @@
 void ReplicaNode::read(Respond respond)
 {
     if (!m_driver) {
-        return respond(ReplicaAnswer::Unavailable);
+        return respond(CallOutcome::Unavailable);
     }
     m_open[++m_lastTicket] = std::move(respond);
     m_driver->core().read(monotonicNow(), m_lastTicket);
--- a/src/replica_members.cpp
+++ b/src/replica_members.cpp
@@ -20,7 +20,7 @@
     return known;
 }
 
-void ReplicaNode::followMembers()
+void ReplicaNode::updateMembers()
 {
     const ClusterConfig &config = raft().config();
     if (config == m_followed) {
@@ -33,13 +33,13 @@
         voters += (voters.empty() ? "" : ",") + toText(member.key.id) + (member.voter ? "" : "(learner)");
     }
     m_listDue = true;
-    tellReplicaList(monotonicNow());
+    sendReplicaListIfDue(monotonicNow());
     LogLine(LogLevel::Info, "members-changed").with("members", voters).with("term", value(raft().term()));
 }
 
 // The first change after a pause is told at once. Those that follow share a message: when a fleet starts, each replica
 // learns of all others within a second, and has hundreds of balancers to tell.
-void ReplicaNode::tellReplicaList(TimePoint now)
+void ReplicaNode::sendReplicaListIfDue(TimePoint now)
 {
     if (m_listDue && now >= m_nextList) {
         m_listDue = false;
@@ -60,13 +60,13 @@
 
 // Asks to be taken in, as long as no leader speaks to this replica: its disk is new, or it was removed while
 // it was away.
-void ReplicaNode::rejoin(TimePoint now)
+void ReplicaNode::requestJoin(TimePoint now)
 {
     const bool alone = raft().role() == RaftRole::Joining || !raft().inContact(now);
     if (!alone || now < m_nextJoin) {
         return;
     }
-    m_nextJoin = now + RejoinInterval;
+    m_nextJoin = now + JoinRetryInterval;
     for (const ReplicaId replica : knownReplicas()) {
         sendRaft({{replica, 0}, JoinRequest{raft().self()}});
     }
@@ -109,7 +109,7 @@
     }
     const Admission admission = m_driver->admit(envelope);
     if (admission == Admission::StorageFailed) {
-        return loseStorage(monotonicNow());
+        return onStorageFailure(monotonicNow());
     }
     if (admission == Admission::Rejected) {
         ++m_refusedMessages; // For the disk that was here before, or of another cluster, which is said there.
@@ -133,7 +133,7 @@
 }
 
 // A replica that hears its leader and does not get what is committed looks well by its links and by its leader.
-void ReplicaNode::watchLag(TimePoint now)
+void ReplicaNode::updateLagState(TimePoint now)
 {
     const bool hearsLeader = m_driver && value(raft().leader().id) != 0 && raft().inContact(now);
     const bool caughtUp = m_driver && raft().caughtUp(now);
@@ -149,7 +149,7 @@
 }
 
 // What tells a member that lags from one that is not reached.
-void ReplicaNode::describeConsensus(MetricsText &text) const
+void ReplicaNode::addRaftMetrics(MetricsText &text) const
 {
     const bool leads = m_driver && raft().role() == RaftRole::Leader;
     text.gauge("robinrail_replica_leader", "1 if this replica leads", leads ? 1 : 0);
@@ -171,7 +171,7 @@
     describe("robinrail_member_next", "Index that a member is sent next, at the leader", &MemberProgress::next);
 }
 
-void ReplicaNode::logLeader()
+void ReplicaNode::logLeaderChange()
 {
     const ReplicaKey leader = raft().leader();
     if (leader != m_loggedLeader) {
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -93,7 +93,7 @@
 // the targets' announcements.
 void ReplicaNode::openStorage(TimePoint now)
 {
-    m_storageDue = now + StorageRetry;
+    m_storageDue = now + StorageRetryInterval;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
             BOOST_LEAF_AUTO(storage, openReplicaStorage(m_file, m_self));
@@ -134,13 +134,13 @@
 
 // After a refused write nothing may be acknowledged: what the core believes is thrown away and read anew
 // from the disk, as after a restart.
-void ReplicaNode::loseStorage(TimePoint now)
+void ReplicaNode::onStorageFailure(TimePoint now)
 {
     ++m_storageFailures;
     m_driver.reset();
-    m_storageDue = now + StorageRetry;
+    m_storageDue = now + StorageRetryInterval;
     for (const auto &[ticket, respond] : std::exchange(m_open, {})) {
-        respond(ReplicaAnswer::Unavailable);
+        respond(CallOutcome::Unavailable);
     }
 }
 
@@ -155,12 +155,12 @@
     }
     if (m_driver) {
         m_driver->core().tick(now);
-        rejoin(now);
+        requestJoin(now);
         flush();
     }
     beat(now);
-    tellReplicaList(now);
-    tellUnreachable(now);
+    sendReplicaListIfDue(now);
+    reportUnreachableTargets(now);
     m_targets.reconcile(now);
     m_targets.publish(now);
     m_targets.expireDrains(now);
@@ -195,15 +195,15 @@
         sendRaft(send);
     });
     if (!works) {
-        return loseStorage(monotonicNow());
+        return onStorageFailure(monotonicNow());
     }
     m_notesDue = m_notesDue || raft().commitIndex() != committed;
     for (const Driver::Core::Reply &reply : m_driver->core().takeReplies()) {
         answer(reply);
     }
-    followMembers();
-    offerRouting();
-    logLeader();
+    updateMembers();
+    publishRoutingOffer();
+    logLeaderChange();
 }
 
 void ReplicaNode::answer(const Driver::Core::Reply &reply)
@@ -215,12 +215,12 @@
     const Respond respond = std::move(at->second);
     m_open.erase(at);
     switch (reply.status) {
-    case ControlStatus::NotLeader:
-        return respond(ReplicaAnswer::Elsewhere);
-    case ControlStatus::Unknown:
-        return respond(ReplicaAnswer::Unavailable);
-    case ControlStatus::Done:
-        return respond(ReplicaAnswer::Done);
+    case RequestStatus::NotLeader:
+        return respond(CallOutcome::Elsewhere);
+    case RequestStatus::Unknown:
+        return respond(CallOutcome::Unavailable);
+    case RequestStatus::Done:
+        return respond(CallOutcome::Done);
     }
 }
 
@@ -245,7 +245,7 @@
     return offer;
 }
 
-void ReplicaNode::offerRouting()
+void ReplicaNode::publishRoutingOffer()
 {
     const RoutingOffer now = offer(monotonicNow());
     const bool changed = now.progress != m_offered.progress;
@@ -273,7 +273,7 @@
     m_links.sendEncoded(link, m_encodedTable);
 }
 
-void ReplicaNode::tellUnreachable(TimePoint now)
+void ReplicaNode::reportUnreachableTargets(TimePoint now)
 {
     m_prober.turn(now);
     const TargetsUnreachable found{place(), m_prober.takeUnreachable()};
@@ -289,9 +289,9 @@
     if (now < m_nextBeat) {
         return;
     }
-    m_nextBeat = now + ReplicaBeatInterval;
+    m_nextBeat = now + ReplicaUpdateInterval;
     writeNotes();
-    watchLag(now);
+    updateLagState(now);
     const RoutingOffer current = offer(now);
     m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), current);
     m_links.sendAll(m_links.dialled(), current);
@@ -308,7 +308,7 @@
         if (moved) {
             // Balancers of its data centre look for it there.
             m_listDue = true;
-            tellReplicaList(now);
+            sendReplicaListIfDue(now);
         }
         if (m_driver) {
             m_driver->core().setDataCentre(peer.replica, peer.dataCentre);
@@ -447,7 +447,7 @@
 std::string ReplicaNode::metricsText() const
 {
     MetricsText text;
-    describeConsensus(text);
+    addRaftMetrics(text);
     text.gauge("robinrail_routing_version", "Version of the routing document in force", static_cast<double>(document().table.version));
     text.gauge("robinrail_drained_data_centres", "Data centres that get no new flows", static_cast<double>(drains().drained().size()));
     text.gauge("robinrail_targets_known", "Targets in the directory", static_cast<double>(m_targets.size()));
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -25,23 +25,23 @@
 inline constexpr std::chrono::milliseconds ReplicaTick{25};
 
 // A replica that no leader speaks to asks to be taken in this often.
-inline constexpr Duration RejoinInterval = std::chrono::milliseconds(400);
+inline constexpr Duration JoinRetryInterval = std::chrono::milliseconds(400);
 
 // A voter that was silent for this long gives its vote to a spare. Above the pause of an election, below the
 // time after which a second loss must be borne (4 s on the smallest deployment).
 inline constexpr Duration VoterReplacementTimeout = std::chrono::milliseconds(1500);
 
 // Replicas tell each other this often whom they heard, and all linked nodes which version is in force.
-inline constexpr Duration ReplicaBeatInterval = std::chrono::milliseconds(500);
+inline constexpr Duration ReplicaUpdateInterval = std::chrono::milliseconds(500);
 
 // Balancers are told where replicas are this often at most.
 inline constexpr Duration ReplicaListInterval = std::chrono::milliseconds(100);
 
 // A disk that refused a write is tried again this often.
-inline constexpr Duration StorageRetry = std::chrono::milliseconds(500);
+inline constexpr Duration StorageRetryInterval = std::chrono::milliseconds(500);
 
 // How a call ended.
-enum class ReplicaAnswer : std::uint8_t {
+enum class CallOutcome : std::uint8_t {
     Done,
     Elsewhere, // Ask the leader.
     Unavailable, // Ask again, or another replica; a change may or may not have been made.
@@ -50,7 +50,7 @@
 class ReplicaNode
 {
 public:
-    using Respond = std::function<void(ReplicaAnswer)>;
+    using Respond = std::function<void(CallOutcome)>;
 
     // `file` must have a data folder.
     ReplicaNode(boost::asio::io_context &io, SteeringFile file);
@@ -80,11 +80,11 @@
     void read(Respond respond);
 
     // A call from outside was refused before it came here, for this reason.
-    void countRefused(std::string_view call, std::string_view reason);
+    void countRefusedCall(std::string_view call, std::string_view reason);
 
     // Where this target should make its announcements from now on: one replica for each, so that it keeps one
     // connection, in its own data centre if one there can be reached. Empty: wherever it likes.
-    std::optional<Endpoint> announceAt(const TargetRecord &record) const;
+    std::optional<Endpoint> announcementEndpoint(const TargetRecord &record) const;
 
     const RoutingDocument &document() const;
     const DataCentreDrains &drains() const;
@@ -104,30 +104,30 @@
     void writeNotes();
     void scheduleFlush();
     void flush();
-    void loseStorage(TimePoint now);
+    void onStorageFailure(TimePoint now);
     const RaftCore &raft() const;
     void sendRaft(const RaftSend &send);
     LinkHandle linkFor(ReplicaId replica);
-    void watchLag(TimePoint now);
-    void describeConsensus(MetricsText &text) const;
+    void updateLagState(TimePoint now);
+    void addRaftMetrics(MetricsText &text) const;
     void answer(const Driver::Core::Reply &reply);
-    void rejoin(TimePoint now);
+    void requestJoin(TimePoint now);
     void beat(TimePoint now);
-    void followMembers();
+    void updateMembers();
     void propose(const RoutingChange &change, Respond respond);
     RoutingProgress progress() const;
     RoutingOffer offer(TimePoint now) const;
-    void offerRouting();
+    void publishRoutingOffer();
     ReplicaList replicaList() const;
-    void tellReplicaList(TimePoint now);
+    void sendReplicaListIfDue(TimePoint now);
     void onClosed(LinkHandle link, const NodeHello &peer);
     void onUnanswered(const NodeHello &peer, const TargetsUnanswered &list);
     void probe(const TargetsUnanswered &list);
     ReplicaPlace place() const;
     std::vector<ReplicaPlace> reachableReplicas() const;
-    void tellUnreachable(TimePoint now);
+    void reportUnreachableTargets(TimePoint now);
     void sendTable(LinkHandle link);
-    void logLeader();
+    void logLeaderChange();
 
     void onEstablished(LinkHandle link, const NodeHello &peer);
     void onMessage(LinkHandle link, const NodeHello &peer, const NodeMessage &message);
--- a/src/replicated_core.h
+++ b/src/replicated_core.h
@@ -37,7 +37,7 @@
 };
 
 // How a request to a replica ended.
-enum class ControlStatus : std::uint8_t {
+enum class RequestStatus : std::uint8_t {
     Done,
     NotLeader, // Nothing was done; ask the leader.
     Unknown, // The change may be applied or not; send it again.
@@ -49,7 +49,7 @@
 public:
     struct Reply {
         std::uint64_t ticket = 0;
-        ControlStatus status = ControlStatus::Done;
+        RequestStatus status = RequestStatus::Done;
         typename Machine::Result result; // Of a change that is done.
     };
 
@@ -64,13 +64,13 @@
     void tick(TimePoint now)
     {
         m_raft.tick(now);
-        failWaiting();
+        failPendingRequests();
     }
 
     void handle(TimePoint now, ReplicaKey from, const RaftMessage &message)
     {
         m_raft.handle(now, from, message);
-        failWaiting();
+        failPendingRequests();
     }
 
     // Proposes a change; its reply with this ticket comes from takeReplies().
@@ -78,7 +78,7 @@
     {
         const std::optional<LogIndex> index = m_raft.propose(now, Machine::encodeChange(change));
         if (!index) {
-            m_replies.push_back({ticket, ControlStatus::NotLeader, {}});
+            m_replies.push_back({ticket, RequestStatus::NotLeader, {}});
             return;
         }
         m_waiting[*index] = {ticket, m_raft.term()};
@@ -90,7 +90,7 @@
         m_openReads.insert(ticket);
         if (!m_raft.requestRead(now, ticket)) {
             m_openReads.erase(ticket);
-            m_replies.push_back({ticket, ControlStatus::NotLeader, {}});
+            m_replies.push_back({ticket, RequestStatus::NotLeader, {}});
         }
     }
 
@@ -176,7 +176,7 @@
         const auto waiting = m_waiting.find(entry.index);
         if (waiting != m_waiting.end()) {
             const bool own = waiting->second.term == entry.term;
-            m_replies.push_back({waiting->second.ticket, own ? ControlStatus::Done : ControlStatus::Unknown, result});
+            m_replies.push_back({waiting->second.ticket, own ? RequestStatus::Done : RequestStatus::Unknown, result});
             m_waiting.erase(waiting);
         }
     }
@@ -187,23 +187,23 @@
             if (read.index > m_applied) {
                 return false;
             }
-            m_replies.push_back({read.ticket, ControlStatus::Done, {}});
+            m_replies.push_back({read.ticket, RequestStatus::Done, {}});
             return true;
         });
     }
 
     // A replica that no longer leads can't say what becomes of the changes that it proposed.
-    void failWaiting()
+    void failPendingRequests()
     {
         if (m_raft.role() == RaftRole::Leader) {
             return;
         }
         for (const auto &[index, waiting] : m_waiting) {
-            m_replies.push_back({waiting.ticket, ControlStatus::Unknown, {}});
+            m_replies.push_back({waiting.ticket, RequestStatus::Unknown, {}});
         }
         m_waiting.clear();
         for (const std::uint64_t ticket : m_openReads) {
-            m_replies.push_back({ticket, ControlStatus::NotLeader, {}});
+            m_replies.push_back({ticket, RequestStatus::NotLeader, {}});
         }
         m_openReads.clear();
     }
--- a/src/routing_state.h
+++ b/src/routing_state.h
@@ -35,7 +35,7 @@
 namespace detail {
 
 // The whole state, as it goes into a snapshot.
-struct RoutingImage {
+struct FullRoutingState {
     RoutingDocument document;
     DataCentreDrains drains;
 
@@ -46,7 +46,7 @@
 };
 
 // Snapshots of earlier releases are a document alone.
-using RoutingSnapshot = std::variant<RoutingDocument, RoutingImage>;
+using RoutingSnapshot = std::variant<RoutingDocument, FullRoutingState>;
 
 } // namespace detail
 
@@ -80,7 +80,7 @@
 
     Bytes serialize() const
     {
-        return encodeMessage(detail::RoutingSnapshot(detail::RoutingImage{m_document, m_drains}));
+        return encodeMessage(detail::RoutingSnapshot(detail::FullRoutingState{m_document, m_drains}));
     }
 
     bool restore(BytesView bytes)
@@ -89,7 +89,7 @@
         if (!snapshot) {
             return false;
         }
-        if (auto *image = std::get_if<detail::RoutingImage>(&*snapshot)) {
+        if (auto *image = std::get_if<detail::FullRoutingState>(&*snapshot)) {
             m_document = std::move(image->document);
             m_drains = std::move(image->drains);
         } else {
--- a/tests/control_cluster.cpp
+++ b/tests/control_cluster.cpp
@@ -157,7 +157,7 @@
     check(node, output);
     for (const ControlReply &reply : node.core->takeReplies()) {
         const auto ticket = node.tickets.find(reply.ticket);
-        if (ticket == node.tickets.end() || reply.status != ControlStatus::Done) {
+        if (ticket == node.tickets.end() || reply.status != RequestStatus::Done) {
             continue;
         }
         m_answers[ticket->second].push_back(reply.result);
--- a/tests/test_replica_node.cpp
+++ b/tests/test_replica_node.cpp
@@ -165,8 +165,8 @@
             return leader < Voters;
         }));
         bool submitted = false;
-        voters[leader]->submit(documentOf(Version), [&submitted](ReplicaAnswer answer) {
-            submitted = answer == ReplicaAnswer::Done;
+        voters[leader]->submit(documentOf(Version), [&submitted](CallOutcome answer) {
+            submitted = answer == CallOutcome::Done;
         });
         REQUIRE(replicas.waitFor([&submitted] {
             return submitted;
@@ -179,7 +179,7 @@
     void keepReading()
     {
         if (!std::exchange(reading, true)) {
-            voters[leader]->read([this](ReplicaAnswer) {
+            voters[leader]->read([this](CallOutcome) {
                 reading = false;
             });
         }
