--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -216,7 +216,7 @@
     m_open.erase(at);
     switch (reply.status) {
     case RequestStatus::NotLeader:
-        return respond(CallOutcome::Elsewhere);
+        return respond(CallOutcome::NotLeader);
     case RequestStatus::Unknown:
         return respond(CallOutcome::Unavailable);
     case RequestStatus::Done:
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -43,7 +43,7 @@
 // How a call ended.
 enum class CallOutcome : std::uint8_t {
     Done,
-    Elsewhere, // Ask the leader.
+    NotLeader, // Ask the leader.
     Unavailable, // Ask again, or another replica; a change may or may not have been made.
 };
 
