--- a/src/replica_calls.cpp
+++ b/src/replica_calls.cpp
@@ -26,7 +26,7 @@
 void ReplicaNode::countRefusedCall(std::string_view call, std::string_view reason)
 {
     ++m_refusedCalls;
-    if (const auto leftOut = m_refusedLog.take(monotonicNow())) {
+    if (const auto leftOut = m_refusedLogBudget.take(monotonicNow())) {
         LogLine(LogLevel::Warning, "call-refused").with("call", call).with("reason", reason).with("left-out", *leftOut);
     }
 }
@@ -63,7 +63,7 @@
 void ReplicaNode::propose(const RoutingChange &change, Respond respond)
 {
     ++m_changes;
-    m_open[++m_lastTicket] = [this, began = monotonicNow(), respond = std::move(respond)](CallOutcome answer) {
+    m_pendingCalls[++m_lastTicket] = [this, began = monotonicNow(), respond = std::move(respond)](CallOutcome answer) {
         if (answer == CallOutcome::Done) {
             m_commitTimes.record(monotonicNow() - began);
         }
@@ -78,7 +78,7 @@
     if (!m_driver) {
         return respond(CallOutcome::Unavailable);
     }
-    m_open[++m_lastTicket] = std::move(respond);
+    m_pendingCalls[++m_lastTicket] = std::move(respond);
     m_driver->core().read(monotonicNow(), m_lastTicket);
     scheduleFlush();
 }
--- a/src/replica_members.cpp
+++ b/src/replica_members.cpp
@@ -23,16 +23,16 @@
 void ReplicaNode::updateMembers()
 {
     const ClusterConfig &config = raft().config();
-    if (config == m_followed) {
+    if (config == m_knownConfig) {
         return;
     }
-    m_followed = config;
+    m_knownConfig = config;
     m_links.maintain(knownReplicas(), m_file.linkPort);
     std::string voters;
     for (const ReplicaMember &member : config.members) {
         voters += (voters.empty() ? "" : ",") + toText(member.key.id) + (member.voter ? "" : "(learner)");
     }
-    m_listDue = true;
+    m_replicaListDue = true;
     sendReplicaListIfDue(monotonicNow());
     LogLine(LogLevel::Info, "members-changed").with("members", voters).with("term", value(raft().term()));
 }
@@ -41,9 +41,9 @@
 // learns of all others within a second, and has hundreds of balancers to tell.
 void ReplicaNode::sendReplicaListIfDue(TimePoint now)
 {
-    if (m_listDue && now >= m_nextList) {
-        m_listDue = false;
-        m_nextList = now + ReplicaListInterval;
+    if (m_replicaListDue && now >= m_nextReplicaList) {
+        m_replicaListDue = false;
+        m_nextReplicaList = now + ReplicaListInterval;
         m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), replicaList());
     }
 }
@@ -63,10 +63,10 @@
 void ReplicaNode::requestJoin(TimePoint now)
 {
     const bool alone = raft().role() == RaftRole::Joining || !raft().inContact(now);
-    if (!alone || now < m_nextJoin) {
+    if (!alone || now < m_nextJoinRequest) {
         return;
     }
-    m_nextJoin = now + JoinRetryInterval;
+    m_nextJoinRequest = now + JoinRetryInterval;
     for (const ReplicaId replica : knownReplicas()) {
         sendRaft({{replica, 0}, JoinRequest{raft().self()}});
     }
@@ -84,7 +84,7 @@
 {
     const LinkHandle link = m_links.linkTo(replica);
     const bool reached = link != 0;
-    if (m_reach.recordSend(replica, reached)) {
+    if (m_reachability.recordSend(replica, reached)) {
         LogLine(reached ? LogLevel::Info : LogLevel::Warning, reached ? "replica-reached" : "replica-unreached").with("replica", toText(replica));
     }
     return link;
@@ -95,7 +95,7 @@
     const std::optional<RaftMessage> message = decodeMessage<RaftMessage>(envelope.message);
     if (!message) {
         ++m_refusedMessages;
-        if (const auto leftOut = m_unreadableLog.take(monotonicNow())) {
+        if (const auto leftOut = m_unreadableLogBudget.take(monotonicNow())) {
             LogLine(LogLevel::Error, "raft-message-unreadable").with("replica", toText(envelope.from.id)).with("left-out", *leftOut);
         }
         return;
@@ -137,11 +137,11 @@
 {
     const bool hearsLeader = m_driver && value(raft().leader().id) != 0 && raft().inContact(now);
     const bool caughtUp = m_driver && raft().caughtUp(now);
-    const bool lags = (m_lags || hearsLeader) && !caughtUp;
-    if (lags == m_lags) {
+    const bool lags = (m_lagging || hearsLeader) && !caughtUp;
+    if (lags == m_lagging) {
         return;
     }
-    m_lags = lags;
+    m_lagging = lags;
     LogLine line(lags ? LogLevel::Warning : LogLevel::Info, lags ? "replica-lags" : "replica-caught-up");
     if (m_driver) {
         line.with("leader", toText(raft().leader().id)).with("commit", value(raft().commitIndex())).with("last", value(raft().lastIndex()));
@@ -156,8 +156,8 @@
     text.gauge("robinrail_replica_term", "Term of consensus", m_driver ? static_cast<double>(value(raft().term())) : 0);
     text.gauge("robinrail_replica_commit", "Index of the last committed entry", m_driver ? static_cast<double>(value(raft().commitIndex())) : 0);
     text.gauge("robinrail_replica_last", "Index of the last entry in the log", m_driver ? static_cast<double>(value(raft().lastIndex())) : 0);
-    text.gauge("robinrail_replica_lags", "1 if it hears its leader and lacks what is committed", m_lags ? 1 : 0);
-    text.counter("robinrail_replica_unsent_total", "Messages of consensus for which there was no link", static_cast<double>(m_reach.unsent()));
+    text.gauge("robinrail_replica_lags", "1 if it hears its leader and lacks what is committed", m_lagging ? 1 : 0);
+    text.counter("robinrail_replica_unsent_total", "Messages of consensus for which there was no link", static_cast<double>(m_reachability.unsent()));
     text.counter("robinrail_replica_refused_total",
                  "Messages of consensus that could not be read or were for another disk or cluster",
                  static_cast<double>(m_refusedMessages));
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -93,7 +93,7 @@
 // the targets' announcements.
 void ReplicaNode::openStorage(TimePoint now)
 {
-    m_storageDue = now + StorageRetryInterval;
+    m_nextStorageAttempt = now + StorageRetryInterval;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
             BOOST_LEAF_AUTO(storage, openReplicaStorage(m_file, m_self));
@@ -138,8 +138,8 @@
 {
     ++m_storageFailures;
     m_driver.reset();
-    m_storageDue = now + StorageRetryInterval;
-    for (const auto &[ticket, respond] : std::exchange(m_open, {})) {
+    m_nextStorageAttempt = now + StorageRetryInterval;
+    for (const auto &[ticket, respond] : std::exchange(m_pendingCalls, {})) {
         respond(CallOutcome::Unavailable);
     }
 }
@@ -150,7 +150,7 @@
 {
     const TimePoint now = monotonicNow();
     m_links.tick(now);
-    if (!m_driver && now >= m_storageDue) {
+    if (!m_driver && now >= m_nextStorageAttempt) {
         openStorage(now);
     }
     if (m_driver) {
@@ -208,12 +208,12 @@
 
 void ReplicaNode::answer(const Driver::Core::Reply &reply)
 {
-    const auto at = m_open.find(reply.ticket);
-    if (at == m_open.end()) {
+    const auto at = m_pendingCalls.find(reply.ticket);
+    if (at == m_pendingCalls.end()) {
         return;
     }
     const Respond respond = std::move(at->second);
-    m_open.erase(at);
+    m_pendingCalls.erase(at);
     switch (reply.status) {
     case RequestStatus::NotLeader:
         return respond(CallOutcome::NotLeader);
@@ -228,7 +228,7 @@
 
 bool ReplicaNode::confirmed(TimePoint now) const
 {
-    return m_driver && m_versions.isNewest(raft().caughtUp(now), progress());
+    return m_driver && m_versionTracker.isNewest(raft().caughtUp(now), progress());
 }
 
 RoutingProgress ReplicaNode::progress() const
@@ -248,7 +248,7 @@
 void ReplicaNode::publishRoutingOffer()
 {
     const RoutingOffer now = offer(monotonicNow());
-    const bool changed = now.progress != m_offered.progress;
+    const bool changed = now.progress != m_lastOffer.progress;
     if (changed) {
         LogLine(LogLevel::Info, "routing-in-force")
             .with("version", now.progress.version)
@@ -257,10 +257,10 @@
             .with("drained", now.drained.size());
     }
     // Balancers that have just started wait for a confirmed version; those that lost a quorum need not know.
-    if (changed || (now.confirmed && !m_offered.confirmed)) {
+    if (changed || (now.confirmed && !m_lastOffer.confirmed)) {
         m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), now);
     }
-    m_offered = now;
+    m_lastOffer = now;
 }
 
 // Encodes a table once for all who ask: after a loss of power hundreds of balancers ask within a fraction of a second.
@@ -286,10 +286,10 @@
 
 void ReplicaNode::beat(TimePoint now)
 {
-    if (now < m_nextBeat) {
+    if (now < m_nextUpdate) {
         return;
     }
-    m_nextBeat = now + ReplicaUpdateInterval;
+    m_nextUpdate = now + ReplicaUpdateInterval;
     writeNotes();
     updateLagState(now);
     const RoutingOffer current = offer(now);
@@ -307,7 +307,7 @@
         const bool moved = std::exchange(m_dataCentres[peer.replica], peer.dataCentre) != peer.dataCentre;
         if (moved) {
             // Balancers of its data centre look for it there.
-            m_listDue = true;
+            m_replicaListDue = true;
             sendReplicaListIfDue(now);
         }
         if (m_driver) {
@@ -349,7 +349,7 @@
     } else if (const auto *heard = std::get_if<TargetsHeard>(&message)) {
         m_targets.onHeard(monotonicNow(), link, *heard);
     } else if (const auto *offered = std::get_if<RoutingOffer>(&message)) {
-        m_versions.observeInForce(offered->progress);
+        m_versionTracker.observeInForce(offered->progress);
     } else if (const auto *receipts = std::get_if<TargetReceipts>(&message)) {
         m_targets.onReceipts(monotonicNow(), {peer.replica, peer.dataCentre}, *receipts);
     } else if (const auto *digest = std::get_if<DirectoryDigest>(&message)) {
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -140,33 +140,33 @@
     SteeringFile m_file;
     ReplicaId m_self;
     std::optional<Driver> m_driver; // Empty while the disk refuses to work.
-    TimePoint m_storageDue;
+    TimePoint m_nextStorageAttempt;
     NodeLinks m_links;
     BasicTargetExchange<NodeLinks> m_targets;
     TargetProber m_prober;
     AsyncFileWriter m_notes;
     bool m_notesDue = false;
     boost::asio::steady_timer m_timer;
-    std::map<std::uint64_t, Respond> m_open; // By ticket.
+    std::map<std::uint64_t, Respond> m_pendingCalls; // By ticket.
     std::uint64_t m_lastTicket = 0;
     bool m_flushScheduled = false;
-    TimePoint m_nextJoin;
-    TimePoint m_nextBeat;
-    TimePoint m_nextList;
-    bool m_listDue = false; // Balancers must hear of a change of the replicas or of where they are.
-    RoutingOffer m_offered; // What the balancers were last told.
-    VersionTracker m_versions; // Of the other replicas.
+    TimePoint m_nextJoinRequest;
+    TimePoint m_nextUpdate;
+    TimePoint m_nextReplicaList;
+    bool m_replicaListDue = false; // Balancers must hear of a change of the replicas or of where they are.
+    RoutingOffer m_lastOffer; // What the balancers were last told.
+    VersionTracker m_versionTracker; // Of the other replicas.
     Bytes m_encodedTable; // As a message, of m_encodedVersion.
     std::uint64_t m_encodedVersion = 0;
     std::map<ReplicaId, DataCentreId> m_dataCentres;
-    ClusterConfig m_followed;
+    ClusterConfig m_knownConfig;
     ReplicaKey m_loggedLeader;
-    ReachabilityTracker m_reach;
-    bool m_lags = false; // It hears its leader and lacks what is committed, as of the last beat.
+    ReachabilityTracker m_reachability;
+    bool m_lagging = false; // It hears its leader and lacks what is committed, as of the last beat.
     std::uint64_t m_refusedMessages = 0; // Of consensus.
-    LogBudget m_unreadableLog;
+    LogBudget m_unreadableLogBudget;
     std::uint64_t m_refusedCalls = 0;
-    LogBudget m_refusedLog;
+    LogBudget m_refusedLogBudget;
     std::uint64_t m_changes = 0;
     LatencyHistogram m_commitTimes;
     std::uint64_t m_storageFailures = 0;
