--- a/src/replicated_core.h
+++ b/src/replicated_core.h
@@ -81,15 +81,15 @@
             m_replies.push_back({ticket, RequestStatus::NotLeader, {}});
             return;
         }
-        m_waiting[*index] = {ticket, m_raft.term()};
+        m_pendingChanges[*index] = {ticket, m_raft.term()};
     }
 
     // Asks for a linearizable read: once the reply with this ticket is Done, state() may be read.
     void read(TimePoint now, std::uint64_t ticket)
     {
-        m_openReads.insert(ticket);
+        m_unconfirmedReads.insert(ticket);
         if (!m_raft.requestRead(now, ticket)) {
-            m_openReads.erase(ticket);
+            m_unconfirmedReads.erase(ticket);
             m_replies.push_back({ticket, RequestStatus::NotLeader, {}});
         }
     }
@@ -116,8 +116,8 @@
             applyEntry(entry);
         }
         for (const ConfirmedRead &read : output.reads) {
-            m_openReads.erase(read.ticket);
-            m_reads.push_back(read);
+            m_unconfirmedReads.erase(read.ticket);
+            m_confirmedReads.push_back(read);
         }
         answerReads();
     }
@@ -150,7 +150,7 @@
     }
 
 private:
-    struct Waiting {
+    struct PendingChange {
         std::uint64_t ticket = 0;
         Term term{};
     };
@@ -173,17 +173,17 @@
         if (entry.kind == EntryKind::Command) {
             result = m_state.applyCommand(entry.data);
         }
-        const auto waiting = m_waiting.find(entry.index);
-        if (waiting != m_waiting.end()) {
+        const auto waiting = m_pendingChanges.find(entry.index);
+        if (waiting != m_pendingChanges.end()) {
             const bool own = waiting->second.term == entry.term;
             m_replies.push_back({waiting->second.ticket, own ? RequestStatus::Done : RequestStatus::Unknown, result});
-            m_waiting.erase(waiting);
+            m_pendingChanges.erase(waiting);
         }
     }
 
     void answerReads()
     {
-        std::erase_if(m_reads, [this](const ConfirmedRead &read) {
+        std::erase_if(m_confirmedReads, [this](const ConfirmedRead &read) {
             if (read.index > m_applied) {
                 return false;
             }
@@ -198,23 +198,23 @@
         if (m_raft.role() == RaftRole::Leader) {
             return;
         }
-        for (const auto &[index, waiting] : m_waiting) {
+        for (const auto &[index, waiting] : m_pendingChanges) {
             m_replies.push_back({waiting.ticket, RequestStatus::Unknown, {}});
         }
-        m_waiting.clear();
-        for (const std::uint64_t ticket : m_openReads) {
+        m_pendingChanges.clear();
+        for (const std::uint64_t ticket : m_unconfirmedReads) {
             m_replies.push_back({ticket, RequestStatus::NotLeader, {}});
         }
-        m_openReads.clear();
+        m_unconfirmedReads.clear();
     }
 
     RaftCore m_raft;
     Machine m_state;
     LogIndex m_applied{};
     std::size_t m_appliedBytes = 0; // Of the entries since the last snapshot.
-    std::map<LogIndex, Waiting> m_waiting;
-    std::vector<ConfirmedRead> m_reads; // Confirmed, but not applied far enough yet.
-    std::set<std::uint64_t> m_openReads; // Asked for and not confirmed.
+    std::map<LogIndex, PendingChange> m_pendingChanges;
+    std::vector<ConfirmedRead> m_confirmedReads; // Confirmed, but not applied far enough yet.
+    std::set<std::uint64_t> m_unconfirmedReads; // Asked for and not confirmed.
     std::vector<Reply> m_replies;
 };
 
