--- a/tests/control_cluster.cpp
+++ b/tests/control_cluster.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr Duration TickStep = std::chrono::milliseconds(15);
-constexpr Duration JoinStep = std::chrono::milliseconds(400);
+constexpr Duration TickInterval = std::chrono::milliseconds(15);
+constexpr Duration JoinRequestInterval = std::chrono::milliseconds(400);
 
 const char *const EmptyBundle = R"({"formatVersion": 1, "dataCentres": [{"id": 1, "name": "a"}], "services": [], "policy": {"approvals": 1}})";
 
@@ -59,7 +59,7 @@
     node.up = true;
     node.frozen = false;
     node.failSync = false;
-    node.whileFrozen.clear();
+    node.deferredActions.clear();
     node.tickets.clear();
     ++node.run;
     node.dialled.clear();
@@ -100,7 +100,7 @@
     if (!node.frozen) {
         dial(node);
         node.core->tick(clockOf(node));
-        const auto turn = m_now.time_since_epoch() / TickStep % (JoinStep / TickStep);
+        const auto turn = m_now.time_since_epoch() / TickInterval % (JoinRequestInterval / TickInterval);
         const bool alone = node.core->raft().role() == RaftRole::Joining || !node.core->raft().inContact(clockOf(node));
         if (alone && turn == 0) {
             for (const Node &other : m_nodes) {
@@ -109,18 +109,18 @@
         }
         flush(node);
     }
-    after(TickStep, [this, &node, run] {
+    after(TickInterval, [this, &node, run] {
         tick(node, run);
     });
 }
 
-void ControlCluster::onNode(Node &node, const std::function<void()> &action)
+void ControlCluster::runOnNode(Node &node, const std::function<void()> &action)
 {
     if (!node.up) {
         return;
     }
     if (node.frozen) {
-        node.whileFrozen.push_back(action);
+        node.deferredActions.push_back(action);
         return;
     }
     action();
@@ -169,7 +169,7 @@
 
 void ControlCluster::send(Node &from, const RaftSend &message)
 {
-    if (!linked(from, node(value(message.to.id)))) {
+    if (!hasLink(from, node(value(message.to.id)))) {
         return;
     }
     const int copies = uniform() < m_options.duplicate ? 2 : 1;
@@ -183,10 +183,10 @@
         after(delay, [this, &from, sender = from.key, to = message.to, bytes] {
             Node &target = node(value(to.id));
             const bool joins = to.disk == 0;
-            if (!connected(from, target) || (!joins && target.key != to)) {
+            if (!samePartition(from, target) || (!joins && target.key != to)) {
                 return;
             }
-            onNode(target, [this, &target, sender, bytes] {
+            runOnNode(target, [this, &target, sender, bytes] {
                 deliver(target, sender, bytes);
             });
         });
@@ -213,7 +213,7 @@
     }
 }
 
-bool ControlCluster::linked(const Node &one, const Node &other) const
+bool ControlCluster::hasLink(const Node &one, const Node &other) const
 {
     const auto up = [this](const Node &dialler, const Node &peer) {
         const auto at = dialler.dialled.find(peer.key);
@@ -222,10 +222,10 @@
     return m_options.linkTime == Duration{0} || up(one, other) || up(other, one);
 }
 
-bool ControlCluster::connected(const Node &one, const Node &other) const
+bool ControlCluster::samePartition(const Node &one, const Node &other) const
 {
     const auto side = [this](const Node &each) {
-        return (m_cut >> (value(each.key.id) - 1U) & 1U) != 0;
+        return (m_partition >> (value(each.key.id) - 1U) & 1U) != 0;
     };
     return side(one) == side(other);
 }
@@ -246,7 +246,7 @@
 {
     const TimePoint end = m_now + longest;
     while (m_now < end && !condition()) {
-        run(TickStep);
+        run(TickInterval);
     }
     return condition();
 }
@@ -281,7 +281,7 @@
         return node(value(member.key.id)).key == member.key;
     });
     const bool committed = raft.commitIndex() == raft.lastIndex();
-    if (!allIntact || !committed || members.size() != m_nodes.size() || !settled()) {
+    if (!allIntact || !committed || members.size() != m_nodes.size() || !converged()) {
         return false;
     }
     Node &lost = node(number);
@@ -303,19 +303,19 @@
         return;
     }
     thawed.frozen = false;
-    for (const auto &action : std::exchange(thawed.whileFrozen, {})) {
-        onNode(thawed, action);
+    for (const auto &action : std::exchange(thawed.deferredActions, {})) {
+        runOnNode(thawed, action);
     }
 }
 
 void ControlCluster::partition(unsigned set)
 {
-    m_cut = set;
+    m_partition = set;
 }
 
 void ControlCluster::heal()
 {
-    m_cut = 0;
+    m_partition = 0;
 }
 
 SignedChange ControlCluster::makeProposal(std::uint64_t base, const std::string &operatorName)
@@ -367,7 +367,7 @@
     return m_nodes[static_cast<std::size_t>(number - 1)].up;
 }
 
-bool ControlCluster::settled() const
+bool ControlCluster::converged() const
 {
     const int leading = leader();
     if (leading == 0) {
@@ -381,10 +381,10 @@
         });
         return each.up && !each.frozen && member && each.core->raft().commitIndex() == raft.lastIndex();
     });
-    return alike && members.size() == m_nodes.size() && voters() == std::min(m_options.policy.desiredVoters, m_nodes.size());
+    return alike && members.size() == m_nodes.size() && voterCount() == std::min(m_options.policy.desiredVoters, m_nodes.size());
 }
 
-std::size_t ControlCluster::voters() const
+std::size_t ControlCluster::voterCount() const
 {
     const int leading = leader();
     if (leading == 0) {
@@ -396,7 +396,7 @@
     }));
 }
 
-bool ControlCluster::votes(int number) const
+bool ControlCluster::isVoter(int number) const
 {
     const int leading = leader();
     return leading != 0 && m_nodes[static_cast<std::size_t>(leading - 1)].core->raft().isVoter(m_nodes[static_cast<std::size_t>(number - 1)].key);
--- a/tests/control_cluster.h
+++ b/tests/control_cluster.h
@@ -62,9 +62,9 @@
     int leader() const; // Number of a replica that leads in the highest term; 0 if there is none.
     ControlCore &core(int number);
     bool up(int number) const;
-    bool settled() const; // All are up, members, as many of them voters as are wanted, and have applied the same.
-    std::size_t voters() const; // As the leader sees it; 0 without one.
-    bool votes(int number) const;
+    bool converged() const; // All are up, members, as many of them voters as are wanted, and have applied the same.
+    std::size_t voterCount() const; // As the leader sees it; 0 without one.
+    bool isVoter(int number) const;
 
     // What went wrong first; empty as long as all invariants hold.
     const std::string &violation() const;
@@ -83,7 +83,7 @@
         bool failSync = false;
         double clockRate = 1;
         std::uint64_t run = 0;
-        std::vector<std::function<void()>> whileFrozen;
+        std::vector<std::function<void()>> deferredActions;
         std::map<std::uint64_t, ChangeId> tickets;
         std::map<ReplicaKey, TimePoint> dialled; // When each one that it knows was dialled.
     };
@@ -102,13 +102,13 @@
     void start(Node &node);
     void after(Duration delay, std::function<void()> action);
     void tick(Node &node, std::uint64_t run);
-    void onNode(Node &node, const std::function<void()> &action);
+    void runOnNode(Node &node, const std::function<void()> &action);
     void flush(Node &node);
     void send(Node &from, const RaftSend &send);
     void deliver(Node &target, ReplicaKey sender, const Bytes &bytes);
     void dial(Node &node);
-    bool linked(const Node &one, const Node &other) const;
-    bool connected(const Node &one, const Node &other) const;
+    bool hasLink(const Node &one, const Node &other) const;
+    bool samePartition(const Node &one, const Node &other) const;
     TimePoint clockOf(const Node &node) const;
     double uniform();
     void check(Node &node, const RaftOutput &output);
@@ -120,7 +120,7 @@
     std::uint64_t m_order = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
     std::vector<Node> m_nodes;
-    unsigned m_cut = 0;
+    unsigned m_partition = 0;
     std::uint64_t m_lastDisk = 0;
     std::uint64_t m_lastTicket = 0;
     std::map<std::string, KeyPair> m_keys;
--- a/tests/test_control.cpp
+++ b/tests/test_control.cpp
@@ -59,7 +59,7 @@
         , m_cluster(options)
     {
         m_cluster.runUntil([this] {
-            return m_cluster.settled();
+            return m_cluster.converged();
         });
     }
 
@@ -109,10 +109,10 @@
             m_cluster.thaw(number);
             m_cluster.restart(number);
         }
-        const bool settled = m_cluster.runUntil([this] {
-            return m_cluster.settled();
+        const bool converged = m_cluster.runUntil([this] {
+            return m_cluster.converged();
         });
-        RC_ASSERT(settled);
+        RC_ASSERT(converged);
         RC_ASSERT(m_cluster.violation() == "");
         for (int number = 1; number <= m_replicas; ++number) {
             RC_ASSERT(m_cluster.core(number).state().latestVersion() >= m_cluster.acknowledgedVersion());
@@ -233,14 +233,14 @@
         options.seed = seed;
         options.linkTime = milliseconds(20) + milliseconds(seed * 2);
         ControlCluster cluster(options);
-        const auto settled = [&cluster] {
-            return cluster.settled();
+        const auto converged = [&cluster] {
+            return cluster.converged();
         };
-        REQUIRE(cluster.runUntil(settled));
+        REQUIRE(cluster.runUntil(converged));
         for (int lost = 1; lost <= Replicas; ++lost) {
             REQUIRE(cluster.wipe(lost));
-            CHECK(cluster.runUntil(settled, seconds(4)));
-            REQUIRE(cluster.runUntil(settled, seconds(60)));
+            CHECK(cluster.runUntil(converged, seconds(4)));
+            REQUIRE(cluster.runUntil(converged, seconds(60)));
             ledByOthers += cluster.leader() > options.seeds ? 1 : 0;
         }
         CHECK(cluster.violation().empty());
@@ -254,20 +254,20 @@
     options.replicas = 4;
     ControlCluster cluster(options);
     REQUIRE(cluster.runUntil([&] {
-        return cluster.settled();
+        return cluster.converged();
     }));
-    CHECK(cluster.voters() == 3);
-    CHECK_FALSE(cluster.votes(4));
+    CHECK(cluster.voterCount() == 3);
+    CHECK_FALSE(cluster.isVoter(4));
     const int lost = cluster.leader() == 1 ? 2 : 1;
     cluster.crash(lost);
     REQUIRE(cluster.runUntil([&] {
-        return cluster.votes(4) && !cluster.votes(lost) && cluster.voters() == 3;
+        return cluster.isVoter(4) && !cluster.isVoter(lost) && cluster.voterCount() == 3;
     }));
     cluster.restart(lost);
     REQUIRE(cluster.runUntil([&] {
-        return cluster.settled();
+        return cluster.converged();
     }));
-    CHECK_FALSE(cluster.votes(lost));
+    CHECK_FALSE(cluster.isVoter(lost));
     CHECK(cluster.violation() == "");
 }
 
@@ -296,7 +296,7 @@
 {
     ControlCluster cluster({});
     REQUIRE(cluster.runUntil([&] {
-        return cluster.settled();
+        return cluster.converged();
     }));
     const SignedChange change = cluster.makeProposal(0, "first");
     cluster.submit(cluster.leader(), change);
@@ -315,10 +315,10 @@
     options.policy.minCopies = 3;
     ControlCluster cluster(options);
     REQUIRE(cluster.runUntil([&] {
-        return cluster.settled();
+        return cluster.converged();
     }));
     CHECK(cluster.violation().empty());
-    CHECK(cluster.voters() == 5);
+    CHECK(cluster.voterCount() == 5);
     return value(cluster.core(cluster.leader()).raft().lastIndex());
 }
 
@@ -333,7 +333,7 @@
 {
     ControlCluster cluster({});
     cluster.runUntil([&] {
-        return cluster.settled();
+        return cluster.converged();
     });
     const SignedChange first = cluster.makeProposal(0, "first");
     const SignedChange second = cluster.makeProposal(0, "second");
@@ -352,7 +352,7 @@
 {
     ControlCluster cluster({});
     cluster.runUntil([&] {
-        return cluster.settled();
+        return cluster.converged();
     });
     const int old = cluster.leader();
     cluster.freeze(old);
@@ -378,18 +378,18 @@
         options.seed = seed;
         ControlCluster cluster(options);
         cluster.runUntil([&] {
-            return cluster.settled();
+            return cluster.converged();
         });
         for (int lost : {3, 2, 1}) {
             const std::uint64_t before = cluster.core(cluster.leader()).state().latestVersion();
             const SignedChange change = cluster.makeProposal(before, "first");
             cluster.submit(cluster.leader(), change);
             cluster.runUntil([&] {
-                return !cluster.answersTo(change.change).empty() && cluster.settled();
+                return !cluster.answersTo(change.change).empty() && cluster.converged();
             });
             REQUIRE(cluster.wipe(lost));
             REQUIRE(cluster.runUntil([&] {
-                return cluster.settled();
+                return cluster.converged();
             }));
         }
         CHECK(cluster.core(1).state().latestVersion() == 3);
@@ -401,7 +401,7 @@
 {
     ControlCluster cluster({});
     cluster.runUntil([&] {
-        return cluster.settled();
+        return cluster.converged();
     });
     cluster.crash(3);
     for (std::uint64_t version = 0; version < CompactionInterval + 200; ++version) {
@@ -418,7 +418,7 @@
     CHECK(value(cluster.core(cluster.leader()).raft().snapshot().index) > 0);
     cluster.restart(3);
     REQUIRE(cluster.runUntil([&] {
-        return cluster.settled();
+        return cluster.converged();
     }));
     CHECK(cluster.core(3).state().latestVersion() == reached);
     CHECK(cluster.violation().empty());
@@ -428,7 +428,7 @@
 {
     ControlCluster cluster({});
     cluster.runUntil([&] {
-        return cluster.settled();
+        return cluster.converged();
     });
     const int old = cluster.leader();
     cluster.partition(1U << static_cast<unsigned>(old - 1));
