--- a/tests/test_disk.h
+++ b/tests/test_disk.h
@@ -12,17 +12,17 @@
 namespace Robinrail {
 
 // A folder of its own for each case, removed at the end.
-class Folder
+class TemporaryFolder
 {
 public:
-    Folder()
+    TemporaryFolder()
     {
         std::string pattern = (std::filesystem::temp_directory_path() / "robinrail-test-XXXXXX").string();
         m_path = ::mkdtemp(pattern.data());
     }
-    Folder(const Folder &) = delete;
-    Folder &operator=(const Folder &) = delete;
-    ~Folder()
+    TemporaryFolder(const TemporaryFolder &) = delete;
+    TemporaryFolder &operator=(const TemporaryFolder &) = delete;
+    ~TemporaryFolder()
     {
         std::filesystem::remove_all(m_path);
     }
--- a/tests/test_replica.cpp
+++ b/tests/test_replica.cpp
@@ -58,14 +58,14 @@
 {
     std::uint64_t cluster = 0;
     for (const std::uint32_t seed : {1U, 2U, 3U}) {
-        const Folder folder;
+        const TemporaryFolder folder;
         CHECK(withFolder(settingsFor(folder.path(), true), ReplicaId{seed}, [&cluster, seed](const RaftStorage &storage) {
             CHECK(storage.identity().cluster != 0);
             CHECK((seed == 1 || storage.identity().cluster == cluster));
             cluster = storage.identity().cluster;
         }));
     }
-    const Folder other;
+    const TemporaryFolder other;
     CHECK(withFolder(settingsFor(other.path(), true), ReplicaId{4}, [](const RaftStorage &storage) {
         CHECK(storage.identity().cluster == 0);
     }));
@@ -73,7 +73,7 @@
 
 TEST_CASE("a seed that comes back with an empty disk is a new voter without a cluster")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     CHECK(withFolder(settingsFor(folder.path(), false), ReplicaId{1}, [](const RaftStorage &storage) {
         CHECK(storage.identity().cluster == 0);
         CHECK(storage.identity().disk > 1);
@@ -82,7 +82,7 @@
 
 TEST_CASE("a driver takes messages of its cluster for its disk, and joins the first cluster that speaks to it")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     CHECK(withFolder(settingsFor(folder.path(), false), ReplicaId{4}, [](RaftStorage storage) {
         ReplicaDriver<RoutingState> driver(std::move(storage), Start, Seed);
         CHECK(driver.admit(envelopeTo({ReplicaId{4}, 99}, 5)) == Admission::Rejected);
@@ -94,7 +94,7 @@
 
 TEST_CASE("a driver whose disk refuses says so, and does not send what it could not write")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     const SteeringFile file = settingsFor(folder.path() / "data", true);
     CHECK(withFolder(file, ReplicaId{1}, [&file](RaftStorage storage) {
         ReplicaDriver<RoutingState> driver(std::move(storage), Start, Seed);
@@ -116,7 +116,7 @@
 
 TEST_CASE("recovery notes of another disk, and those that can't be read, are as none")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     const fs::path path = folder.path() / "notes";
     CHECK(value(readRecoveryNotes(path, 9).committed) == 0);
     const Bytes bytes = encodeNotes({9, LogIndex{12}, {}, {{ReplicaId{4}, DataCentreId{2}}}});
@@ -151,7 +151,7 @@
 
 TEST_CASE("a file that can't be replaced in the background is counted")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     AsyncFileWriter file(folder.path() / "missing" / "notes");
     CHECK(file.replace(Bytes{1}));
     while (file.failures() == 0) {
--- a/tests/test_replica_node.cpp
+++ b/tests/test_replica_node.cpp
@@ -128,7 +128,7 @@
         }
     }
 
-    Folder m_folder;
+    TemporaryFolder m_folder;
     std::uint16_t m_port = 0;
     std::vector<std::unique_ptr<Process>> m_processes;
 };
--- a/tests/test_storage.cpp
+++ b/tests/test_storage.cpp
@@ -88,7 +88,7 @@
 
 TEST_CASE("what was persisted is found again, and later entries replace earlier ones")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     writeThree(folder.path());
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) -> leaf::result<void> {
         CHECK_FALSE(storage.newlyCreated());
@@ -107,7 +107,7 @@
 
 TEST_CASE("a torn record at the end is cut off at every length")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     writeThree(folder.path());
     const fs::path log = folder.path() / "log";
     const std::uintmax_t whole = fs::file_size(log);
@@ -126,12 +126,12 @@
 
 TEST_CASE("a damaged record in the middle keeps the replica out")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     writeThree(folder.path());
     const fs::path log = folder.path() / "log";
     const std::uintmax_t last = fs::file_size(log) - 60;
     for (std::uintmax_t at = 0; at < last; at += 7) {
-        const Folder copy;
+        const TemporaryFolder copy;
         fs::copy(folder.path(), copy.path(), fs::copy_options::recursive | fs::copy_options::overwrite_existing);
         damage(copy.path() / "log", at);
         CHECK(openError(copy.path()) == StorageError::DamagedLog);
@@ -140,7 +140,7 @@
 
 TEST_CASE("a write of several entries that was torn anywhere is cut off whole")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     writeThree(folder.path());
     const std::uintmax_t before = fs::file_size(folder.path() / "log");
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) -> leaf::result<void> {
@@ -148,7 +148,7 @@
     }));
     const std::uintmax_t whole = fs::file_size(folder.path() / "log");
     for (std::uintmax_t at = before; at + 2 < whole; at += 5) {
-        const Folder copy;
+        const TemporaryFolder copy;
         fs::copy(folder.path(), copy.path(), fs::copy_options::recursive | fs::copy_options::overwrite_existing);
         damage(copy.path() / "log", at);
         CHECK(entriesIn(copy.path()) == 3);
@@ -157,7 +157,7 @@
 
 TEST_CASE("foreign, newer and damaged folders are refused")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     writeThree(folder.path());
     CHECK(withStorage(folder.path(),
                       [](RaftStorage &storage) {
@@ -184,7 +184,7 @@
 
 TEST_CASE("a snapshot replaces the log before it, and a damaged one is refused")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     writeThree(folder.path());
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) -> leaf::result<void> {
         Snapshot snapshot;
@@ -210,9 +210,9 @@
 
 TEST_CASE("a crash between writing the snapshot and the log leaves a sound folder")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     writeThree(folder.path());
-    const Folder old;
+    const TemporaryFolder old;
     fs::copy(folder.path(), old.path(), fs::copy_options::recursive | fs::copy_options::overwrite_existing);
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) {
         Snapshot snapshot;
@@ -226,7 +226,7 @@
 
 TEST_CASE("a full disk is an error, and what was synced before stays")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     writeThree(folder.path());
     const std::optional<StorageError> error = withStorage(folder.path(), [&](RaftStorage &storage) {
         const FullDisk full(storage.logBytes());
@@ -238,7 +238,7 @@
 
 TEST_CASE("a log without an end is refused and does not take all memory")
 {
-    const Folder folder;
+    const TemporaryFolder folder;
     writeThree(folder.path());
     fs::remove(folder.path() / "log");
     fs::create_symlink("/dev/zero", folder.path() / "log");
