--- a/spec/consensus.pml
+++ b/spec/consensus.pml
@@ -1,17 +1,17 @@
 /* SPDX-License-Identifier: MIT
  *
- * Consensus: the core of the control replicas' protocol, small enough to be searched whole.
+ * Consensus: the core of the control replicas' protocol, small enough for an exhaustive search.
  *
- * Three replicas, one disk each. Terms, votes, a log of at most MAXLOG entries, commit by a quorum, one
- * loss of a disk with repair, after which a second replica may be lost for good. An entry's value is the
- * change id; a replica's disk number says which life of its disk it is.
+ * Three replicas with one disk each: terms, votes, a log of at most MAXLOG entries, commit by a quorum, and
+ * the loss and repair of one disk, after which a second replica may be lost for good. The value of an entry
+ * is the change id. A replica that lost its disk rejoins as a learner, with the state of the old disk gone.
  *
  * Properties (assertions):
  *   A1  at most one leader in a term
  *   A2  a committed entry is never lost or replaced
- *   A3  of two changes that build on one version, one wins; a resend applies once
- *   A4  a wiped replica never votes with forgotten state
- *   A5  after a repair, the loss of a second replica keeps every committed entry
+ *   A3  of two changes with the same base version, one is applied; a resent change is applied once
+ *   A4  a replica that lost its disk never votes as if it still had its earlier vote and log
+ *   A5  after a repair, no committed entry is lost with a second replica
  *
  * Mutations, each of which must break a property: MUTATE_VOTE_TWICE (A1), MUTATE_STALE_LOG (A2),
  * MUTATE_NO_DEDUP (A3), MUTATE_WIPED_VOTES (A4), MUTATE_EARLY_VOTER (A5).
@@ -20,18 +20,18 @@
 #define N 3
 #define MAXTERM 3
 #define MAXLOG 2
-#define NOBODY 9
-#define LOST 8      /* Led by a life of a disk that is lost. */
+#define NONE 9
+#define LOST_DISK 8      /* The leader of the term has lost its disk. */
 
-/* Whether a voter holds all that the leader holds, in the leader's term. */
-#define HOLDS(l, f) (r[f].voter && !r[f].down && r[f].term == r[l].term && r[f].length == r[l].length)
+/* Whether a voter is up, in the leader's term and has the same log length as the leader. */
+#define SAME_LOG(l, f) (r[f].voter && !r[f].down && r[f].term == r[l].term && r[f].length == r[l].length)
 
-/* When a learner may become a voter: it holds all that its leader holds, and a quorum of voters does, too,
- * as the configuration entry that takes it in is committed by them. */
+/* Whether a learner may be promoted: its log is as long as the leader's, and so are those of a quorum of voters, which
+ * have to commit the configuration entry. */
 #ifdef MUTATE_EARLY_VOTER
 #define CAUGHT_UP(l, i) true
 #else
-#define CAUGHT_UP(l, i) (r[i].term == r[l].term && r[i].length == r[l].length && (HOLDS(l, 0) + HOLDS(l, 1) + HOLDS(l, 2)) * 2 > voters)
+#define CAUGHT_UP(l, i) (r[i].term == r[l].term && r[i].length == r[l].length && (SAME_LOG(l, 0) + SAME_LOG(l, 1) + SAME_LOG(l, 2)) * 2 > voters)
 #endif
 
 typedef Replica {
@@ -40,9 +40,9 @@
     byte length;
     byte entryTerm[MAXLOG];
     byte entryValue[MAXLOG];
-    bool voter;    /* Counts for votes and commits; a repaired disk is a learner first. */
+    bool voter;    /* Counts for votes and commits; a replica with a repaired disk is a learner first. */
     bool down;
-    bool wiped;    /* Has lost its disk once. */
+    bool wiped;    /* Has lost its disk. */
 };
 
 Replica r[N];
@@ -50,8 +50,8 @@
 byte committed = 0;
 byte committedTerm[MAXLOG];
 byte committedValue[MAXLOG];
-byte committedIn[MAXLOG];  /* The term in which it was committed, which may be later than its own. */
-byte voters = N;      /* Size of the configuration, lost members included. */
+byte committedIn[MAXLOG];  /* Term in which the entry was committed; may be later than the term of the entry. */
+byte voters = N;      /* Number of voters in the configuration, including lost ones. */
 bool diskLost = false;
 bool secondLost = false;
 
@@ -62,8 +62,8 @@
     fi
 }
 
-/* Whether candidate c may have the vote of v in term t. */
-inline askVote(xc, xv, xt, xgranted) {
+/* Request for the vote of v by candidate c in term t. */
+inline requestVote(xc, xv, xt, xgranted) {
     byte lastC;
     byte lastV;
     bool upToDate;
@@ -72,7 +72,7 @@
     :: r[xv].down || xt < r[xv].term -> skip
     :: else ->
         if
-        :: xt > r[xv].term -> r[xv].term = xt; r[xv].votedFor = NOBODY
+        :: xt > r[xv].term -> r[xv].term = xt; r[xv].votedFor = NONE
         :: else -> skip
         fi;
         lastTermOf(xc, lastC);
@@ -85,18 +85,18 @@
 #ifdef MUTATE_VOTE_TWICE
         :: upToDate -> r[xv].votedFor = xc; xgranted = true
 #else
-        :: upToDate && (r[xv].votedFor == NOBODY || r[xv].votedFor == xc) -> r[xv].votedFor = xc; xgranted = true
+        :: upToDate && (r[xv].votedFor == NONE || r[xv].votedFor == xc) -> r[xv].votedFor = xc; xgranted = true
 #endif
         :: else -> skip
         fi
     fi
 }
 
-/* One replica stands for election; any subset of the others may be reached. */
+/* A replica starts an election; any subset of the others may be reachable. */
 inline elect(yc) {
     byte votes;
     byte yv;
-    bool got;
+    bool granted;
     if
     :: !r[yc].down && r[yc].voter && r[yc].term < MAXTERM ->
         r[yc].term++;
@@ -106,9 +106,9 @@
         do
         :: yv < N && yv != yc ->
             if
-            :: askVote(yc, yv, r[yc].term, got);
+            :: requestVote(yc, yv, r[yc].term, granted);
                if
-               :: got && r[yv].voter -> votes++
+               :: granted && r[yv].voter -> votes++
                :: else -> skip
                fi
             :: skip
@@ -119,7 +119,7 @@
         od;
         if
         :: votes * 2 > voters ->
-            assert(leaderOfTerm[r[yc].term] == NOBODY || leaderOfTerm[r[yc].term] == yc); /* A1 */
+            assert(leaderOfTerm[r[yc].term] == NONE || leaderOfTerm[r[yc].term] == yc); /* A1 */
             leaderOfTerm[r[yc].term] = yc
         :: else -> skip
         fi
@@ -127,7 +127,7 @@
     fi
 }
 
-/* The leader of its own term appends a change, unless its log has the change already. */
+/* The leader appends a change, unless its log already contains it. */
 inline propose(yl, ychange) {
     byte k;
     bool known;
@@ -153,13 +153,13 @@
     fi
 }
 
-/* The leader brings one follower's log to its own, as the end of an exchange of appends does. */
+/* The leader copies its log to one follower, which is the result of a complete exchange of appends. */
 inline replicate(yl, yf) {
     byte k;
     if
     :: yl != yf && !r[yl].down && !r[yf].down && leaderOfTerm[r[yl].term] == yl && r[yf].term <= r[yl].term ->
         if
-        :: r[yf].term < r[yl].term -> r[yf].term = r[yl].term; r[yf].votedFor = NOBODY
+        :: r[yf].term < r[yl].term -> r[yf].term = r[yl].term; r[yf].votedFor = NONE
         :: else -> skip
         fi;
         k = 0;
@@ -175,30 +175,30 @@
     fi
 }
 
-/* The leader commits what a quorum of voters holds, if the newest of it is of its own term. */
+/* The leader commits the entries that a quorum of voters holds, if the last of them is of its own term. */
 inline commit(yl) {
     byte holders;
     byte f;
-    byte want;
+    byte upTo;
     if
     :: !r[yl].down && leaderOfTerm[r[yl].term] == yl && r[yl].length > committed ->
-        want = r[yl].length;
+        upTo = r[yl].length;
         holders = 0;
         f = 0;
         do
         :: f < N ->
             if
-            :: r[f].voter && !r[f].down && r[f].term == r[yl].term && r[f].length >= want && r[f].entryTerm[want - 1] == r[yl].entryTerm[want - 1] -> holders++
+            :: r[f].voter && !r[f].down && r[f].term == r[yl].term && r[f].length >= upTo && r[f].entryTerm[upTo - 1] == r[yl].entryTerm[upTo - 1] -> holders++
             :: else -> skip
             fi;
             f++
         :: else -> break
         od;
         if
-        :: holders * 2 > voters && r[yl].entryTerm[want - 1] == r[yl].term ->
+        :: holders * 2 > voters && r[yl].entryTerm[upTo - 1] == r[yl].term ->
             f = 0;
             do
-            :: f < want ->
+            :: f < upTo ->
                 if
                 :: f < committed ->
                     assert(committedTerm[f] == r[yl].entryTerm[f] && committedValue[f] == r[yl].entryValue[f]) /* A2 */
@@ -210,8 +210,8 @@
                 f++
             :: else -> break
             od;
-            committed = want;
-            /* A3: a change stands in the committed log at most once. */
+            committed = upTo;
+            /* A3: a change occurs at most once in the committed log. */
             assert(committed < 2 || committedValue[0] != committedValue[1])
         :: else -> skip
         fi
@@ -219,7 +219,7 @@
     fi
 }
 
-/* Leader completeness: a leader of the term of a commit, or of a later one, has what was committed. */
+/* Leader completeness: the leader of the term of a commit or of a later term has all entries committed then. */
 inline checkLeader(yl) {
     byte f;
     if
@@ -227,7 +227,7 @@
         f = 0;
         do
         :: f < committed ->
-            /* A5 and A2: whoever wins a later term has all that is committed. */
+            /* A2 and A5: the leader of the same or a later term has the committed entry. */
             if
             :: r[yl].term >= committedIn[f] ->
                 assert(r[yl].length > f && r[yl].entryTerm[f] == committedTerm[f] && r[yl].entryValue[f] == committedValue[f])
@@ -240,7 +240,7 @@
     fi
 }
 
-/* A disk is lost: the replica comes back as a learner with an empty disk. */
+/* A replica loses its disk and restarts as a learner with an empty one. */
 inline wipe(yi) {
     if
     :: !diskLost && !secondLost && !r[yi].down ->
@@ -248,12 +248,12 @@
         r[yi].wiped = true;
         r[yi].length = 0;
         r[yi].term = 0;
-        r[yi].votedFor = NOBODY;
+        r[yi].votedFor = NONE;
         w = 0;
         do
         :: w <= MAXTERM ->
             if
-            :: leaderOfTerm[w] == yi -> leaderOfTerm[w] = LOST
+            :: leaderOfTerm[w] == yi -> leaderOfTerm[w] = LOST_DISK
             :: else -> skip
             fi;
             w++
@@ -267,7 +267,7 @@
     fi
 }
 
-/* The leader takes the learner in once it has the whole log (two configuration changes in one step). */
+/* The leader promotes the learner once it has the complete log (two configuration changes in one step). */
 inline promote(yl, yi) {
     if
     :: yl != yi && diskLost && r[yi].wiped && !r[yi].voter && !r[yl].down && leaderOfTerm[r[yl].term] == yl && CAUGHT_UP(yl, yi) -> r[yi].voter = true
@@ -275,8 +275,8 @@
     fi
 }
 
-/* After the repair a second replica is lost for good. */
-inline loseSecond(yi) {
+/* After the repair, a second replica is lost permanently. */
+inline loseSecondReplica(yi) {
     bool repaired;
     w = 0;
     repaired = false;
@@ -298,12 +298,12 @@
     d_step {
         a = 0;
         do
-        :: a < N -> r[a].votedFor = NOBODY; r[a].voter = true; a++
+        :: a < N -> r[a].votedFor = NONE; r[a].voter = true; a++
         :: else -> break
         od;
         a = 0;
         do
-        :: a <= MAXTERM -> leaderOfTerm[a] = NOBODY; a++
+        :: a <= MAXTERM -> leaderOfTerm[a] = NONE; a++
         :: else -> break
         od;
         a = 0;
@@ -322,7 +322,7 @@
             :: skip; commit(a)
             :: skip; wipe(a)
             :: skip; promote(a, b)
-            :: skip; loseSecond(a)
+            :: skip; loseSecondReplica(a)
             fi;
             checkLeader(0);
             checkLeader(1);
