--- a/src/raft_core.cpp
+++ b/src/raft_core.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Raft core: construction, what comes in, reads, and small questions.
+// Raft core: construction, message dispatch, linearizable reads and accessors.
 #include "raft_core.h"
 
 #include "codec.h"
@@ -90,7 +90,7 @@
     if (m_role != RaftRole::Leader) {
         return;
     }
-    // A request from before the replica lost its disk must not be taken up any more.
+    // A pending request from before the replica lost its disk is obsolete and must not be granted.
     std::erase_if(m_joiners, [&request](const auto &joiner) {
         return joiner.first.id == request.joiner.id;
     });
@@ -127,7 +127,7 @@
     });
 }
 
-// ---- Small questions ----
+// ---- Accessors ----
 
 RaftOutput RaftCore::takeOutput()
 {
--- a/src/raft_core.h
+++ b/src/raft_core.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Raft core: one replica's part in the consensus, as a state machine without I/O.
+// Raft core: the consensus protocol of one replica as a deterministic state machine without I/O.
 //
-// After Ongaro, "Consensus: Bridging Theory and Practice" (2014): elections with pre-vote and
-// check-quorum (9.6, 6.2), log replication, read index (6.4), snapshots (5), single-step membership
-// changes with learners (4). The driver calls handle(), propose() or tick(), then takes the output and
-// must obey its order: persist and sync, then send, then apply.
+// Follows Ongaro, "Consensus: Bridging Theory and Practice" (2014): elections with pre-vote and
+// check-quorum (sections 9.6, 6.2), log replication, read index (6.4), snapshots (5) and single-server
+// membership changes with learners (4). The driver calls handle(), propose() or tick(), then takes the
+// output and must process it in this order: persist and sync, send, apply.
 #pragma once
 
 #include "raft_message.h"
@@ -19,52 +19,52 @@
 
 namespace Robinrail {
 
-// A leader says that it leads this often.
+// Interval between the heartbeats of a leader.
 inline constexpr Duration RaftHeartbeat = std::chrono::milliseconds(75);
 
-// A follower stands for election after a silence of between once and twice this.
+// A follower starts an election after a randomized time without a leader, between once and twice this value.
 inline constexpr Duration ElectionTimeout = std::chrono::milliseconds(450);
 
-// Most entries, and about the most bytes of them, in one append request.
+// Limits of one append request. The byte limit is approximate: a single larger entry is sent alone.
 inline constexpr std::size_t MaxEntriesPerAppend = 256;
 inline constexpr std::size_t MaxAppendBytes = std::size_t{512} << 10U;
 
-// A learner becomes a voter when it lacks at most this many entries.
+// A learner is promoted to voter only when it is at most this many entries behind the leader.
 inline constexpr std::uint64_t MaxPromotionLag = 16;
 
-// A configuration as a log entry carries it, and back.
+// Conversion of a configuration to and from the data of a log entry.
 Bytes encodeClusterConfig(const ClusterConfig &config);
 ClusterConfig decodeClusterConfig(const Bytes &data);
 
 enum class RaftRole : std::uint8_t {
-    Joining, // An empty disk that no configuration names yet.
+    Joining, // The log is empty and no configuration is known yet.
     Follower,
     PreCandidate,
     Candidate,
     Leader,
 };
 
-// A learner that nobody heard for this long is dropped, where the cluster keeps its members itself. Longer
-// than any restart, so that a replica that comes back need not be taken in again.
+// A learner that the leader has not heard from for this long is removed, if the cluster manages its own
+// membership. Longer than any restart, so that a restarted replica need not join again.
 inline constexpr Duration LearnerRemovalTimeout = std::chrono::seconds(20);
 
-// A replica that just started and hears no leader asks for votes within this, as after a loss of power nobody
-// leads. Where somebody does lead, the pre-vote disturbs nothing.
+// Upper bound of the election time-out of a replica that has just started. It is short because there is no
+// leader after a power loss; if there is one, the pre-vote keeps the early election from disturbing it.
 inline constexpr Duration FirstElectionTimeout = std::chrono::milliseconds(150);
 
-// How a cluster chooses its members. The default suits a cluster whose replicas are named in settings.
+// How a cluster manages its membership. The default suits a cluster whose replicas are listed in the settings.
 struct RaftPolicy {
-    std::size_t desiredVoters = std::numeric_limits<std::size_t>::max(); // Learners beyond this stay spares.
-    std::size_t minCopies = 1; // Fewest voters' disks that hold an entry before it is committed.
-    Duration voterTimeout{}; // A voter that was silent for this long is replaced by a spare; 0: never.
+    std::size_t desiredVoters = std::numeric_limits<std::size_t>::max(); // Further replicas stay learners, as spares.
+    std::size_t minCopies = 1; // Voters that must hold an entry before it is committed; at least a majority is required anyway.
+    Duration voterTimeout{}; // A voter not heard from for this long is replaced by a spare; 0: never.
 };
 
-// What a replica finds on its disk, or starts with.
+// State that a replica recovers from its disk, or that bootstrap() creates.
 struct PersistentRaftState {
     HardState hard;
     std::optional<Snapshot> snapshot;
     std::vector<LogEntry> log; // Contiguous, after the snapshot.
-    LogIndex committed{}; // Known to be committed, from a note beside the log; 0 without one.
+    LogIndex committed{}; // Known commit index, from the recovery notes beside the log; 0: unknown.
 };
 
 struct RaftSend {
@@ -72,14 +72,14 @@
     RaftMessage message;
 };
 
-// A read may be answered once `index` is applied.
+// A linearizable read whose leadership check has succeeded. It may be answered once `index` is applied.
 struct ConfirmedRead {
     std::uint64_t ticket = 0;
     LogIndex index{};
 };
 
-// What the driver must do, in this order: install the snapshot, persist hard state and entries (cutting
-// the log from the first entry's index on), sync, send, apply.
+// Actions for the driver, in this order: install the snapshot, persist hard state and entries (truncating
+// the log from the index of the first entry), sync, send, apply.
 struct RaftOutput {
     std::optional<Snapshot> snapshot;
     std::optional<HardState> hard;
@@ -94,11 +94,11 @@
     }
 };
 
-// A leader's view of another member, for figures and logs.
+// A leader's view of another member, for metrics and logs.
 struct MemberProgress {
     ReplicaKey key;
-    LogIndex match{}; // What it is known to hold.
-    LogIndex next{}; // What it is sent next; entries between the two are on their way, or lost.
+    LogIndex match{}; // Highest index known to be replicated to it.
+    LogIndex next{}; // Next index to send; entries between the two are in flight or lost.
     TimePoint lastHeard;
 };
 
@@ -107,58 +107,59 @@
 public:
     RaftCore(ReplicaKey self, PersistentRaftState durable, TimePoint now, std::uint32_t seed, RaftPolicy policy = {});
 
-    // A durable state that makes `self` the only voter of a new cluster whose first command is given.
+    // Initial state of a new cluster with `self` as its only voter and the given first command.
     static PersistentRaftState bootstrap(ReplicaKey self, Bytes firstCommand);
 
-    // The same for several voters. Each of them starts with this very state, so the first election may go to
-    // any and there is one cluster, whatever the order in which they start.
+    // The same for several voters. All of them start with an identical state, so any of them can win the
+    // first election and a single cluster results, whatever the order in which they start.
     static PersistentRaftState bootstrap(std::span<const ReplicaKey> voters, Bytes firstCommand = {});
 
-    // Says in which data centre a replica is; voters are spread over them.
+    // Sets the data centre of a replica; voters are spread over the data centres.
     void setDataCentre(ReplicaId replica, DataCentreId dataCentre);
 
     void tick(TimePoint now);
     void handle(TimePoint now, ReplicaKey from, const RaftMessage &message);
 
-    // Appends a command; its index if this replica leads. That it is in the log does not mean that it
-    // will be committed: only `committed` says so.
+    // Appends a command and returns its index, or nothing if this replica is not the leader. An appended
+    // command may still be lost; it is committed once it appears in RaftOutput::committed.
     std::optional<LogIndex> propose(TimePoint now, Bytes command);
 
-    // Asks for a linearizable read; the ticket comes back in `reads`. False if this replica can't serve it.
+    // Requests a linearizable read; the ticket is returned in RaftOutput::reads. False if this replica is not
+    // the leader or has not committed an entry of its term yet.
     bool requestRead(TimePoint now, std::uint64_t ticket);
 
-    // Replaces the applied log up to `index` by the state machine's snapshot.
+    // Replaces the log up to `index`, which must be applied, by a snapshot of the state machine.
     void compact(LogIndex index, Bytes state);
 
     RaftOutput takeOutput();
 
     RaftRole role() const;
     ReplicaKey self() const;
-    ReplicaKey leader() const; // Replica 0: unknown.
+    ReplicaKey leader() const; // Replica id 0 if unknown.
     Term term() const;
     LogIndex commitIndex() const;
     LogIndex lastIndex() const;
     LogIndex firstIndex() const;
     const ClusterConfig &config() const;
-    // Whether config() is committed; until then the one before may come back with another leader.
+    // Whether config() is committed; until then a new leader may revert to the previous configuration.
     bool configCommitted() const;
-    const Snapshot &snapshot() const; // Index 0 without one.
+    const Snapshot &snapshot() const; // Index 0 if there is none.
     const HardState &hardState() const;
-    std::span<const LogEntry> log() const; // After the snapshot.
+    std::span<const LogEntry> log() const; // Entries after the snapshot.
     bool isVoter(ReplicaKey key) const;
 
-    // Where the other members are; empty unless this replica leads.
+    // Replication progress of the other members; empty unless this replica leads.
     std::vector<MemberProgress> memberProgress() const;
 
-    // Whether the replica heard from a quorum (as leader) or from a leader (as follower) of late.
+    // Whether the replica heard from a quorum (as leader) or from a leader (as follower) within the last two election time-outs.
     bool inContact(TimePoint now) const;
 
-    // Whether this replica holds what was committed until a moment ago: it leads a quorum, or it had all that its leader had
-    // committed by a message of late. A follower whose refusals of appends get lost hears its leader for as long and
-    // learns nothing.
+    // Whether this replica holds everything that was committed up to two election time-outs ago: it leads a quorum, or its
+    // commit index reached the one in a recent append of its leader. inContact() is not enough: a follower whose rejections
+    // of appends are lost keeps hearing its leader without receiving any entries.
     bool caughtUp(TimePoint now) const;
 
-    // The entry at an index that is neither compacted nor beyond the end; null otherwise.
+    // The entry at `index`; null if it is compacted or beyond the end of the log.
     const LogEntry *entryAt(LogIndex index) const;
 
 private:
@@ -227,7 +228,7 @@
     HardState m_hard;
     Snapshot m_snapshot; // Index 0 without one.
     std::vector<LogEntry> m_log;
-    std::vector<ConfigAt> m_configs; // By index; the last one is in force.
+    std::vector<ConfigAt> m_configs; // In order of index; the last one is in force.
     RaftRole m_role = RaftRole::Follower;
     ReplicaKey m_leader;
     LogIndex m_commit{};
@@ -236,10 +237,10 @@
     TimePoint m_electionDeadline;
     TimePoint m_nextHeartbeat;
     TimePoint m_leaderLastHeard;
-    TimePoint m_lastCaughtUp; // When the leader's commit index, as it last told it, was reached.
+    TimePoint m_lastCaughtUp; // When the commit index last reached that of an append from the leader.
     std::set<ReplicaKey> m_votes;
     std::map<ReplicaKey, Progress> m_progress;
-    std::map<ReplicaKey, TimePoint> m_joiners; // Asked to be taken in, and when last.
+    std::map<ReplicaKey, TimePoint> m_joiners; // Replicas that asked to join, with the time of their last request.
     std::uint64_t m_round = 0;
     std::vector<PendingRead> m_reads;
     RaftOutput m_output;
--- a/src/raft_election.cpp
+++ b/src/raft_election.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Raft core, elections: time-outs, votes and roles (Ongaro 2014, section 3.4; pre-vote, section 9.6).
+// Raft core, elections: time-outs, votes and role changes (Ongaro 2014, section 3.4; pre-vote, section 9.6).
 #include "raft_core.h"
 
 #include <boost/random/uniform_int_distribution.hpp>
@@ -10,11 +10,11 @@
 
 void RaftCore::tick(TimePoint now)
 {
-    // After a standstill of this process, what it heard of the others is old although it reads it only now.
+    // After a pause of this process, queued messages are stale although they are only being read now.
     const bool stoodStill = now - std::exchange(m_lastTick, now) >= ElectionTimeout;
     if (m_role == RaftRole::Leader) {
         if (stoodStill || !heardFromQuorum(now)) {
-            // Check-quorum: a leader that is cut off stops believing that it leads.
+            // Check-quorum (section 6.2): a leader that is partitioned from the quorum steps down.
             becomeFollower(now, m_hard.term, {});
             return;
         }
@@ -33,7 +33,7 @@
     }
 }
 
-// A pre-vote asks whether an election could be won without disturbing a leader that others still hear.
+// A pre-vote checks whether an election could be won, without raising the term and thereby deposing a leader that others still hear.
 void RaftCore::campaign(TimePoint now, bool preVote)
 {
     m_role = preVote ? RaftRole::PreCandidate : RaftRole::Candidate;
@@ -57,7 +57,7 @@
 {
     const bool leaderAlive = m_role == RaftRole::Leader || now - m_leaderLastHeard < ElectionTimeout;
     if (leaderAlive && m_leader != from) {
-        return; // Nobody may depose a leader that is heard (section 4.2.3).
+        return; // Votes are ignored while a leader is heard, so that a removed or partitioned replica can't disrupt it (section 4.2.3).
     }
     if (request.term < m_hard.term) {
         return send(from, VoteReply{m_hard.term, request.preVote, false});
@@ -71,7 +71,7 @@
         becomeFollower(now, request.term, {});
     }
     const bool free = value(m_hard.votedFor.id) == 0 || m_hard.votedFor == from;
-    // The own configuration may lag, so it is not asked: only voters of the candidate's are counted there.
+    // Not checked against the local configuration, which may lag: the candidate counts only voters of its own configuration.
     const bool granted = upToDate && free;
     if (granted) {
         setTerm(m_hard.term, from);
--- a/src/raft_members.cpp
+++ b/src/raft_members.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Raft core, members: who joins, who votes and who leaves, one change at a time (Ongaro 2014, section 4).
+// Raft core, membership: joining, promotion, demotion and removal, one change at a time (Ongaro 2014, section 4).
 #include "raft_core.h"
 
 #include "codec.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A joiner that did not ask for this long is not taken in.
+// A join request that was not repeated for this long is dropped.
 constexpr Duration JoinRequestLifetime = std::chrono::seconds(3);
 
 } // namespace
@@ -29,10 +29,11 @@
     return config;
 }
 
-// Takes joiners in, one step at a time: first as learners; when one has caught up, the voter that its
-// replica was on its lost disk is removed; then it becomes a voter. So a repaired replica counts only
-// with a full log, and the loss of a second one after that loses nothing. Learners count in no quorum, so one
-// step takes in all that ask: at the first start of a fleet that is every replica but the seeds.
+// Adds joining replicas step by step: they become learners; once one has caught up, the voter that the same
+// replica was with its lost disk is removed; then the learner is promoted. A repaired replica thus counts
+// only with a complete log, and losing a second replica afterwards loses no committed entry. Learners count
+// in no quorum, so all joining replicas are added in one change; at the first start of a fleet these are all
+// replicas except the seeds.
 void RaftCore::updateMembership(TimePoint now)
 {
     if (configPending() || termAt(m_commit) != m_hard.term) {
@@ -62,9 +63,9 @@
     return any;
 }
 
-// A replica's vote on a lost disk is gone for good, so that voter leaves before its successor votes. A voter
-// that is only silent may return, so there the spare votes first: while four vote, the silent one's return
-// still makes a majority if a third voter is lost at that very moment.
+// The vote of a lost disk is gone for good, so that voter is removed before its successor is promoted. A voter
+// that timed out may return, so there a spare is promoted before the voter is demoted: with four voters, the
+// return of the one that timed out still gives a majority if another voter is lost at that moment.
 bool RaftCore::replaceOrAddVoter(TimePoint now, ClusterConfig &config) const
 {
     ReplicaMember *spare = nullptr;
@@ -93,7 +94,7 @@
     return true;
 }
 
-// Of more voters than are wanted, one that is silent becomes a learner, else one of the most crowded data centre.
+// Demotes a surplus voter to learner: one that timed out if there is one, else one from the data centre with the most voters.
 bool RaftCore::demoteVoter(TimePoint now, ClusterConfig &config) const
 {
     if (voterCount() <= m_policy.desiredVoters) {
@@ -113,7 +114,7 @@
     return true;
 }
 
-// A learner leaves when it was silent for long, or soon when its replica has another disk by now.
+// Removes a learner that was not heard from for LearnerRemovalTimeout, or earlier if its replica has come back with another disk.
 bool RaftCore::removeLearner(TimePoint now, ClusterConfig &config) const
 {
     const auto lost = std::find_if(config.members.begin(), config.members.end(), [&](const ReplicaMember &member) {
@@ -151,7 +152,7 @@
     return m_policy.voterTimeout > Duration{0} && progress != m_progress.end() && now - progress->second.lastHeard >= m_policy.voterTimeout;
 }
 
-// Voters in the data centre of a member, itself left out.
+// Number of other voters in the data centre of a member.
 std::size_t RaftCore::otherVotersInDataCentre(const ReplicaMember &member) const
 {
     const auto place = [this](const ReplicaMember &each) {
--- a/src/raft_message.h
+++ b/src/raft_message.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Raft messages: log entries, cluster configuration and what replicas say to each other.
+// Raft messages: log entries, cluster configuration and the messages between replicas.
 #pragma once
 
 #include "types.h"
@@ -24,8 +24,9 @@
     return LogIndex{static_cast<std::uint64_t>(index) - 1};
 }
 
-// A replica together with the disk that holds its votes and its log. A replica whose disk was lost has
-// another disk number, hence is another voter: it can't vote with forgotten state.
+// A replica id together with the number of the disk that holds its vote and its log. A replica that lost its
+// disk gets a new disk number and thereby counts as a different voter, so it can't vote twice in a term
+// after losing its state.
 struct ReplicaKey {
     ReplicaId id{};
     std::uint64_t disk = 0;
@@ -40,7 +41,7 @@
 
 struct ReplicaMember {
     ReplicaKey key;
-    bool voter = false; // Otherwise a learner: it gets the log and does not count.
+    bool voter = false; // Otherwise a learner: it receives the log but counts in no quorum.
 
     bool operator==(const ReplicaMember &) const = default;
 
@@ -50,7 +51,7 @@
     }
 };
 
-// Who takes part. In force from the moment it is in the log (Ongaro 2014, section 4.1).
+// Members of the cluster. In force as soon as its entry is in the log, committed or not (Ongaro 2014, section 4.1).
 struct ClusterConfig {
     std::vector<ReplicaMember> members;
 
@@ -65,7 +66,7 @@
 enum class EntryKind : std::uint8_t {
     Command,
     Config,
-    Noop, // Begins a term, so that its leader can commit what older terms left.
+    Noop, // First entry of a term; committing it commits the entries of earlier terms.
 };
 
 struct LogEntry {
@@ -82,10 +83,10 @@
     }
 };
 
-// What a replica must have synced before it answers.
+// Term and vote, which must be synced before a replica sends any message that depends on them.
 struct HardState {
     Term term{};
-    ReplicaKey votedFor; // Replica 0: nobody.
+    ReplicaKey votedFor; // Replica id 0: no vote in this term.
 
     bool operator==(const HardState &) const = default;
 
@@ -95,7 +96,7 @@
     }
 };
 
-// The state machine as of one index, with the configuration of that index.
+// State of the state machine at an index, with the configuration in force there.
 struct Snapshot {
     LogIndex index{};
     Term term{};
@@ -131,8 +132,8 @@
     }
 };
 
-// Entries after (previousIndex, previousTerm); without entries a heartbeat. `round` numbers the
-// leader's broadcasts, so that a quorum of replies proves that it still led at that broadcast.
+// Entries after (previousIndex, previousTerm); a heartbeat if empty. `round` numbers the leader's
+// broadcasts: a quorum of replies to a round proves that it was still the leader at that broadcast.
 struct AppendRequest {
     Term term{};
     LogIndex previousIndex{};
@@ -147,7 +148,7 @@
     }
 };
 
-// On success everything up to `index` is synced; otherwise `index` is where the logs may still agree.
+// On success the log is synced up to `index`; otherwise `index` is the highest one at which the logs may match.
 struct AppendReply {
     Term term{};
     bool success = false;
@@ -171,7 +172,7 @@
     }
 };
 
-// A replica with an empty disk asks to be taken in.
+// Request to become a member, from a replica with an empty disk or one that was removed while it was away.
 struct JoinRequest {
     ReplicaKey joiner;
 
--- a/src/raft_replication.cpp
+++ b/src/raft_replication.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Raft core, replication: the log, its entries on their way, commitment and snapshots (Ongaro 2014, sections 3.5 to 3.7 and 5).
+// Raft core, replication: log, append requests, commit index and snapshots (Ongaro 2014, sections 3.5 to 3.7 and 5).
 #include "raft_core.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A snapshot that was not confirmed is sent again after this time.
+// An unacknowledged snapshot is sent again after this time.
 constexpr Duration SnapshotRetryInterval = std::chrono::seconds(1);
 
 } // namespace
@@ -26,7 +26,7 @@
     }
     std::span<const LogEntry> entries = request.entries;
     LogIndex previousIndex = request.previousIndex;
-    // What the snapshot covers is committed and agrees.
+    // Entries covered by the snapshot are committed and therefore match; skip them.
     while (previousIndex < m_snapshot.index && !entries.empty()) {
         previousIndex = entries.front().index;
         entries = entries.subspan(1);
@@ -112,7 +112,7 @@
     m_leaderLastHeard = now;
     const LogIndex covered = install.snapshot.index;
     if (covered > m_commit && covered <= lastIndex() && termAt(covered) == install.snapshot.term) {
-        // The log agrees and may hold more that was confirmed; nothing of it may be dropped.
+        // The log matches and may hold further entries that were acknowledged to the leader; these must be kept.
         commitTo(covered);
     } else if (covered > m_commit) {
         m_snapshot = install.snapshot;
@@ -189,7 +189,7 @@
         request.entries.push_back(entry);
     }
     if (!request.entries.empty()) {
-        // Sent optimistically; a refusal or the next heartbeat's reply moves it back.
+        // Pipelining: advanced optimistically, and moved back when the follower rejects an append or heartbeat.
         progress.next = next(request.entries.back().index);
     }
     send(to, std::move(request));
@@ -204,7 +204,7 @@
     send(to, InstallSnapshot{m_hard.term, m_round, m_snapshot});
 }
 
-// An entry is committed when a quorum has it, and only counted in the leader's own term (section 3.6.2).
+// Commits what max(majority, minCopies) voters hold, and only entries of the leader's own term directly (section 3.6.2).
 void RaftCore::advanceCommit()
 {
     if (m_role != RaftRole::Leader) {
