--- a/src/background_file.cpp
+++ b/src/background_file.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Background file: implementation.
+// Asynchronous file writer: implementation.
 #include "background_file.h"
 
 #include "durable_file.h"
--- a/src/background_file.h
+++ b/src/background_file.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Background file: replaces a small file in a thread of its own, so that a slow disk holds up nothing else.
+// Asynchronous file writer: replaces a small file in a separate thread, so that a slow disk does not block the event loop.
 #pragma once
 
 #include "types.h"
@@ -16,13 +16,13 @@
 public:
     explicit AsyncFileWriter(std::filesystem::path path);
 
-    // Waits for a write that is under way.
+    // Waits for a write in progress.
     ~AsyncFileWriter();
     AsyncFileWriter(const AsyncFileWriter &) = delete;
     AsyncFileWriter &operator=(const AsyncFileWriter &) = delete;
 
-    // Begins to write, whole and synced; false if the write before is still under way. Failures are counted
-    // and logged with their reason.
+    // Starts to replace the file atomically, with a sync; false if the previous write is still in progress.
+    // Failures are counted and logged with their reason.
     bool replace(Bytes bytes);
 
     std::uint64_t failures() const;
--- a/src/durable_file.cpp
+++ b/src/durable_file.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-// Closes a descriptor at the end of a scope.
-class Descriptor
+// Closes a file descriptor at the end of a scope.
+class ScopedDescriptor
 {
 public:
-    explicit Descriptor(int number)
+    explicit ScopedDescriptor(int number)
         : m_number(number)
     {
     }
-    Descriptor(const Descriptor &) = delete;
-    Descriptor &operator=(const Descriptor &) = delete;
-    ~Descriptor()
+    ScopedDescriptor(const ScopedDescriptor &) = delete;
+    ScopedDescriptor &operator=(const ScopedDescriptor &) = delete;
+    ~ScopedDescriptor()
     {
         if (m_number >= 0) {
             ::close(m_number);
@@ -48,7 +48,7 @@
 
 leaf::result<std::optional<Bytes>> readFile(const std::filesystem::path &path)
 {
-    const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
+    const ScopedDescriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
     if (file.number() < 0) {
         if (errno == ENOENT) {
             return std::optional<Bytes>();
@@ -96,7 +96,7 @@
     temporary += ".new";
     {
         constexpr int OwnerOnly = 0600;
-        const Descriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, OwnerOnly));
+        const ScopedDescriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, OwnerOnly));
         if (file.number() < 0) {
             return failure(FileError::Open, temporary);
         }
@@ -110,7 +110,7 @@
 
 leaf::result<void> syncFolder(const std::filesystem::path &folder)
 {
-    const Descriptor directory(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    const ScopedDescriptor directory(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (directory.number() < 0) {
         return failure(FileError::Open, folder);
     }
--- a/src/durable_file.h
+++ b/src/durable_file.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Durable files: reading whole files and replacing them so that a crash leaves the old or the new one.
+// Durable files: reads whole files and replaces them atomically, so that a crash leaves either the old or the new content.
 #pragma once
 
 #include "types.h"
@@ -20,25 +20,25 @@
     Rename,
 };
 
-// The path that an error is about, and errno.
+// Path of the file that failed, and errno.
 struct FileErrorContext {
     std::string path;
     int errorNumber = 0;
 };
 
-// Largest file that is read whole, bytes. A device or a runaway file must not take all memory.
+// Largest file that readFile() accepts, bytes; keeps a device or an oversized file from exhausting memory.
 inline constexpr std::size_t MaxFileSize = std::size_t{512} << 20U;
 
-// The whole file; empty optional if it does not exist, an error if it is larger than MaxFileSize.
+// Content of a file; an empty optional if it does not exist, FileError::Read with EFBIG if it exceeds MaxFileSize.
 boost::leaf::result<std::optional<Bytes>> readFile(const std::filesystem::path &path);
 
-// Writes a temporary file, syncs it, renames it over `path` and syncs the folder.
+// Replaces a file atomically: writes a temporary file, syncs it, renames it to `path` and syncs the folder.
 boost::leaf::result<void> replaceFile(const std::filesystem::path &path, BytesView bytes);
 
-// Writes all bytes at the end of an open file and syncs it.
+// Appends all bytes to an open file and syncs its data. `path` is used for errors only.
 boost::leaf::result<void> appendAndSync(int descriptor, const std::filesystem::path &path, BytesView bytes);
 
-// Syncs a folder, so that names in it last.
+// Syncs a folder, so that files created or renamed in it survive a crash.
 boost::leaf::result<void> syncFolder(const std::filesystem::path &folder);
 
 } // namespace Robinrail
--- a/src/raft_storage.cpp
+++ b/src/raft_storage.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Raft storage: record format, recovery and replacement of files.
+// Raft storage: record format, recovery and atomic file replacement.
 #include "raft_storage.h"
 
 #include "codec.h"
@@ -18,12 +18,12 @@
 
 namespace {
 
-// A record: magic, length of the payload, checksum over length and payload, payload.
+// Record layout: magic (4 bytes), payload length (4), checksum over length and payload (8), payload.
 constexpr std::uint32_t RecordMagic = 0x52524c31;
 
-// A batch is framed like a record and holds all that one write appends to the log, each piece behind its
-// length. A write that a power loss tore is then one damaged batch at the end, whichever parts of it
-// reached the disk; separate records would look like damage in the middle.
+// A batch is framed like a record and holds all items that one write appends to the log, each preceded by its
+// length. A write torn by a power loss is then a single invalid batch at the end of the log, whichever parts
+// of it reached the disk; separate records could look like corruption in the middle.
 constexpr std::uint32_t BatchMagic = 0x52524c32;
 constexpr std::size_t RecordHeader = 16;
 constexpr std::uint32_t MaxRecord = std::uint32_t{64} << 20U;
@@ -32,7 +32,7 @@
 constexpr const char *LogFile = "log";
 constexpr const char *SnapshotFile = "snapshot";
 
-// The log holds hard states and entries; an entry cuts whatever had its index or a higher one.
+// Item of the log file. An entry truncates all earlier ones with the same or a higher index.
 using LogRecord = std::variant<HardState, LogEntry>;
 
 template<typename Integer>
@@ -71,7 +71,7 @@
     batch.insert(batch.end(), payload.begin(), payload.end());
 }
 
-// The payload of a sound record or batch at `at`; empty if there is none.
+// Payload of the valid record or batch at `at`, if there is one.
 std::optional<BytesView> recordAt(BytesView bytes, std::size_t at)
 {
     if (at + RecordHeader > bytes.size()) {
@@ -92,7 +92,7 @@
     return payload;
 }
 
-// Whether a sound record follows somewhere after `at`: then what is at `at` was damaged, not torn.
+// Whether a valid record starts anywhere after `at`. If so, the data at `at` is corrupt rather than a torn last write.
 bool hasValidRecordAfter(BytesView bytes, std::size_t at)
 {
     for (std::size_t probe = at + 1; probe + RecordHeader <= bytes.size(); ++probe) {
@@ -108,7 +108,7 @@
     return leaf::new_error(error, StorageContext{file.string(), std::move(detail)});
 }
 
-// Turns an error of the file layer into one of this layer.
+// Runs a function and maps a FileError to StorageError::Io.
 template<typename Function>
 auto mapFileErrors(Function function) -> decltype(function())
 {
@@ -136,12 +136,12 @@
     return decodeObject(*payload, object);
 }
 
-// Splits the payload of a record or batch into log records; empty if one of them is unreadable.
+// Decodes the items in the payload of a record or batch; nothing if one of them can't be decoded.
 std::optional<std::vector<LogRecord>> logRecords(BytesView bytes, std::size_t at, BytesView payload)
 {
     std::vector<BytesView> pieces;
-    const bool lone = loadInteger<std::uint32_t>(bytes, at) == RecordMagic; // As in logs of format 1.
-    if (lone) {
+    const bool singleRecord = loadInteger<std::uint32_t>(bytes, at) == RecordMagic; // Format 1.
+    if (singleRecord) {
         pieces.push_back(payload);
         payload = {};
     }
@@ -168,7 +168,7 @@
     return records;
 }
 
-// Takes an entry into a log, cutting what it replaces.
+// Appends an entry to a log after truncating the entries that it replaces.
 void appendReplacing(std::vector<LogEntry> &log, LogEntry entry)
 {
     while (!log.empty() && log.back().index >= entry.index) {
@@ -221,7 +221,7 @@
                     }));
     if (!found) {
         if (std::filesystem::exists(folder / LogFile) || std::filesystem::exists(folder / SnapshotFile)) {
-            return failure(StorageError::DamagedIdentity, identityPath, "missing beside a log or snapshot");
+            return failure(StorageError::DamagedIdentity, identityPath, "file is missing although a log or snapshot exists");
         }
         storage.m_newlyCreated = true;
         storage.m_identity = {StorageFormat, 0, replica, newDisk};
@@ -229,13 +229,13 @@
             return replaceFile(identityPath, encodeChecksummed(storage.m_identity));
         }));
     } else if (!decodeChecksummed(*found, storage.m_identity)) {
-        return failure(StorageError::DamagedIdentity, identityPath, "checksum or content is wrong");
+        return failure(StorageError::DamagedIdentity, identityPath, "checksum mismatch or invalid content");
     }
     if (storage.m_identity.format > StorageFormat) {
-        return failure(StorageError::NewerFormat, identityPath, "format " + std::to_string(storage.m_identity.format));
+        return failure(StorageError::NewerFormat, identityPath, "unsupported newer format " + std::to_string(storage.m_identity.format));
     }
     if (storage.m_identity.replica != replica) {
-        return failure(StorageError::ForeignFolder, identityPath, "folder of replica " + std::to_string(value(storage.m_identity.replica)));
+        return failure(StorageError::ForeignFolder, identityPath, "data folder belongs to replica " + std::to_string(value(storage.m_identity.replica)));
     }
     BOOST_LEAF_CHECK(storage.load());
     return storage;
@@ -248,7 +248,7 @@
                         return readFile(snapshotPath);
                     }));
     if (found && !decodeChecksummed(*found, m_durable.snapshot.emplace())) {
-        return failure(StorageError::DamagedSnapshot, snapshotPath, "checksum or content is wrong");
+        return failure(StorageError::DamagedSnapshot, snapshotPath, "checksum mismatch or invalid content");
     }
     BOOST_LEAF_CHECK(loadLog());
     return openLog();
@@ -269,7 +269,7 @@
         }
         std::optional<std::vector<LogRecord>> records = logRecords(bytes, at, *payload);
         if (!records) {
-            return failure(StorageError::DamagedLog, path, "unreadable record at byte " + std::to_string(at));
+            return failure(StorageError::DamagedLog, path, "undecodable record at byte " + std::to_string(at));
         }
         for (LogRecord &record : *records) {
             if (const auto *hard = std::get_if<HardState>(&record)) {
@@ -282,9 +282,9 @@
     }
     if (at < bytes.size()) {
         if (hasValidRecordAfter(bytes, at)) {
-            return failure(StorageError::DamagedLog, path, "damaged record at byte " + std::to_string(at));
+            return failure(StorageError::DamagedLog, path, "corrupt record before the end of the log, at byte " + std::to_string(at));
         }
-        // A torn tail was never synced, hence never acknowledged.
+        // A torn write at the end was never synced, hence never acknowledged.
         std::error_code error;
         std::filesystem::resize_file(path, at, error);
         if (error) {
@@ -339,7 +339,7 @@
 leaf::result<void> RaftStorage::setCluster(std::uint64_t cluster)
 {
     if (m_identity.cluster != 0 && m_identity.cluster != cluster) {
-        return failure(StorageError::ForeignFolder, m_folder / IdentityFile, "folder of another cluster");
+        return failure(StorageError::ForeignFolder, m_folder / IdentityFile, "data folder belongs to another cluster");
     }
     m_identity.cluster = cluster;
     return mapFileErrors([&] {
--- a/src/raft_storage.h
+++ b/src/raft_storage.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Raft storage: a replica's log, votes and snapshot under one data folder.
+// Raft storage: persistent log, hard state and snapshot of a replica in one data folder.
 //
 // Files: `identity` (cluster, replica, disk, format), `log` (checksummed batches of records) and `snapshot`.
-// Whole files are replaced by write, sync, rename and sync of the folder. Records are appended and
-// synced before anything is acknowledged.
+// Whole files are replaced atomically: write to a temporary file, sync, rename, sync the folder. Log records
+// are appended and synced before anything that depends on them is acknowledged.
 #pragma once
 
 #include "raft_core.h"
@@ -15,29 +15,29 @@
 
 namespace Robinrail {
 
-// Newest format of the data folder that this version reads and writes.
-// Since 2 the records of one write are one batch under one checksum.
+// Newest data folder format that this version can read, and the one that it writes.
+// Since format 2, all records of one write form a batch under one checksum.
 inline constexpr std::uint32_t StorageFormat = 2;
 
 enum class StorageError {
-    Io, // Read, write or sync failed, or the disk is full.
-    ForeignFolder, // The folder is of another cluster or replica.
+    Io, // A read, write or sync failed, or the disk is full.
+    ForeignFolder, // The folder belongs to another cluster or replica.
     NewerFormat,
     DamagedIdentity,
-    DamagedLog, // A record in the middle is damaged: the replica must stay out.
+    DamagedLog, // A record before the end is corrupt: acknowledged entries may be lost, so the replica must not take part.
     DamagedSnapshot,
 };
 
-// What an error is about, for the message to the operator.
+// File and cause of a StorageError, for the operator.
 struct StorageContext {
     std::string file;
     std::string detail;
 };
 
-// Who the folder belongs to.
+// Owner of a data folder.
 struct StorageIdentity {
     std::uint32_t format = StorageFormat;
-    std::uint64_t cluster = 0; // 0 until the replica has joined one.
+    std::uint64_t cluster = 0; // 0 until the replica has joined a cluster.
     ReplicaId replica{};
     std::uint64_t disk = 0;
 
@@ -50,8 +50,8 @@
 class RaftStorage
 {
 public:
-    // Opens the folder of a replica, making it with the disk number `newDisk` if it is empty.
-    // A torn record at the end of the log is cut off; see StorageError for all that is refused.
+    // Opens the data folder of a replica; an empty or missing one is initialized with the disk number `newDisk`.
+    // A torn record at the end of the log is truncated; see StorageError for the other failures.
     static boost::leaf::result<RaftStorage> open(const std::filesystem::path &folder, ReplicaId replica, std::uint64_t newDisk);
 
     RaftStorage(RaftStorage &&other) noexcept;
@@ -62,22 +62,23 @@
 
     const StorageIdentity &identity() const;
 
-    // What was found at opening; moved out.
+    // State recovered by open(); moves it out.
     PersistentRaftState takePersistentState();
 
-    // Whether the folder was empty at opening.
+    // Whether open() initialized an empty folder.
     bool newlyCreated() const;
 
-    // Sets the cluster once, on bootstrap or on joining.
+    // Sets the cluster, on bootstrap or on joining; ForeignFolder if another one is set already.
     boost::leaf::result<void> setCluster(std::uint64_t cluster);
 
-    // Persists what the core's output says, and syncs. After an error nothing may be acknowledged any more.
+    // Persists and syncs snapshot, hard state and entries of an output. After an error nothing may be acknowledged any more.
     boost::leaf::result<void> persist(const RaftOutput &output);
 
-    // Replaces log and snapshot: the snapshot first, then a log with the hard state and the entries after it.
+    // Replaces the snapshot, then the log by one with the hard state and the entries after the snapshot. A crash between the
+    // two leaves the old log, whose entries covered by the snapshot are ignored when it is read.
     boost::leaf::result<void> compact(const Snapshot &snapshot, const HardState &hard, std::span<const LogEntry> rest);
 
-    // Bytes of the log file, for deciding when to compact.
+    // Size of the log file in bytes.
     std::uint64_t logBytes() const;
 
 private:
--- a/tests/test_disk.h
+++ b/tests/test_disk.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Test disk: a data folder for one test case, and a disk that is full.
+// Test disk: a temporary data folder and a simulated full disk.
 #pragma once
 
 #include <csignal>
@@ -11,7 +11,7 @@
 
 namespace Robinrail {
 
-// A folder of its own for each case, removed at the end.
+// A new temporary folder, removed at the end of the scope.
 class TemporaryFolder
 {
 public:
@@ -35,7 +35,7 @@
     std::filesystem::path m_path;
 };
 
-// As long as it lives, files of this process can't grow beyond a size: writes fail as on a full disk.
+// Limits the file size of this process while it exists, so that writes fail as on a full disk.
 class FullDisk
 {
 public:
--- a/tests/test_storage.cpp
+++ b/tests/test_storage.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Storage: what survives a crash, what is cut off, and what is refused.
+// Tests of the Raft storage: recovery after a crash, truncation of torn writes, and detection of damage.
 #include "raft_storage.h"
 #include "test_disk.h"
 
@@ -29,7 +29,7 @@
     return output;
 }
 
-// Opens the folder and hands the storage on, or answers the error.
+// Opens the folder and passes the storage to `use`; returns the error of either, if any.
 template<typename Use>
 std::optional<StorageError> withStorage(const fs::path &folder, Use use)
 {
@@ -47,7 +47,7 @@
         });
 }
 
-void writeThree(const fs::path &folder)
+void writeThreeEntries(const fs::path &folder)
 {
     CHECK_FALSE(withStorage(folder, [](RaftStorage &storage) -> leaf::result<void> {
         CHECK(storage.newlyCreated());
@@ -59,7 +59,7 @@
     }));
 }
 
-std::size_t entriesIn(const fs::path &folder)
+std::size_t countEntries(const fs::path &folder)
 {
     std::size_t count = 0;
     CHECK_FALSE(withStorage(folder, [&count](RaftStorage &storage) -> leaf::result<void> {
@@ -86,10 +86,10 @@
 
 } // namespace
 
-TEST_CASE("what was persisted is found again, and later entries replace earlier ones")
+TEST_CASE("persisted state is recovered, and later entries replace earlier ones")
 {
     const TemporaryFolder folder;
-    writeThree(folder.path());
+    writeThreeEntries(folder.path());
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) -> leaf::result<void> {
         CHECK_FALSE(storage.newlyCreated());
         CHECK(storage.identity().cluster == 5);
@@ -105,29 +105,29 @@
     }));
 }
 
-TEST_CASE("a torn record at the end is cut off at every length")
+TEST_CASE("a torn record at the end of the log is truncated, whatever its length")
 {
     const TemporaryFolder folder;
-    writeThree(folder.path());
+    writeThreeEntries(folder.path());
     const fs::path log = folder.path() / "log";
     const std::uintmax_t whole = fs::file_size(log);
     for (std::uintmax_t cut = 1; cut < 40; ++cut) {
         fs::resize_file(log, whole - cut);
-        CHECK(entriesIn(folder.path()) == 2);
+        CHECK(countEntries(folder.path()) == 2);
         CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) -> leaf::result<void> {
             return storage.persist(outputOf(3, {entryOf(3, 3)}));
         }));
         fs::resize_file(log, fs::file_size(log));
-        CHECK(entriesIn(folder.path()) == 3);
+        CHECK(countEntries(folder.path()) == 3);
         fs::remove_all(folder.path());
-        writeThree(folder.path());
+        writeThreeEntries(folder.path());
     }
 }
 
-TEST_CASE("a damaged record in the middle keeps the replica out")
+TEST_CASE("a damaged record before the end of the log is an error")
 {
     const TemporaryFolder folder;
-    writeThree(folder.path());
+    writeThreeEntries(folder.path());
     const fs::path log = folder.path() / "log";
     const std::uintmax_t last = fs::file_size(log) - 60;
     for (std::uintmax_t at = 0; at < last; at += 7) {
@@ -138,10 +138,10 @@
     }
 }
 
-TEST_CASE("a write of several entries that was torn anywhere is cut off whole")
+TEST_CASE("a torn write of several entries is truncated as a whole, wherever it is damaged")
 {
     const TemporaryFolder folder;
-    writeThree(folder.path());
+    writeThreeEntries(folder.path());
     const std::uintmax_t before = fs::file_size(folder.path() / "log");
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) -> leaf::result<void> {
         return storage.persist(outputOf(3, {entryOf(4, 3), entryOf(5, 3), entryOf(6, 3)}));
@@ -151,14 +151,14 @@
         const TemporaryFolder copy;
         fs::copy(folder.path(), copy.path(), fs::copy_options::recursive | fs::copy_options::overwrite_existing);
         damage(copy.path() / "log", at);
-        CHECK(entriesIn(copy.path()) == 3);
+        CHECK(countEntries(copy.path()) == 3);
     }
 }
 
-TEST_CASE("foreign, newer and damaged folders are refused")
+TEST_CASE("a folder of another cluster or replica, or with a damaged or missing identity, is rejected")
 {
     const TemporaryFolder folder;
-    writeThree(folder.path());
+    writeThreeEntries(folder.path());
     CHECK(withStorage(folder.path(),
                       [](RaftStorage &storage) {
                           return storage.setCluster(6);
@@ -182,10 +182,10 @@
     CHECK(openError(folder.path()) == StorageError::DamagedIdentity);
 }
 
-TEST_CASE("a snapshot replaces the log before it, and a damaged one is refused")
+TEST_CASE("a snapshot replaces the log up to its index, and a damaged one is rejected")
 {
     const TemporaryFolder folder;
-    writeThree(folder.path());
+    writeThreeEntries(folder.path());
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) -> leaf::result<void> {
         Snapshot snapshot;
         snapshot.index = LogIndex{2};
@@ -208,10 +208,10 @@
     CHECK(openError(folder.path()) == StorageError::DamagedSnapshot);
 }
 
-TEST_CASE("a crash between writing the snapshot and the log leaves a sound folder")
+TEST_CASE("a crash between the writes of the snapshot and the log leaves a valid folder")
 {
     const TemporaryFolder folder;
-    writeThree(folder.path());
+    writeThreeEntries(folder.path());
     const TemporaryFolder old;
     fs::copy(folder.path(), old.path(), fs::copy_options::recursive | fs::copy_options::overwrite_existing);
     CHECK_FALSE(withStorage(folder.path(), [](RaftStorage &storage) {
@@ -221,25 +221,25 @@
         return storage.compact(snapshot, HardState{Term{3}, {}}, {});
     }));
     fs::copy_file(old.path() / "log", folder.path() / "log", fs::copy_options::overwrite_existing);
-    CHECK(entriesIn(folder.path()) == 1);
+    CHECK(countEntries(folder.path()) == 1);
 }
 
-TEST_CASE("a full disk is an error, and what was synced before stays")
+TEST_CASE("a full disk is an error, and entries synced before are kept")
 {
     const TemporaryFolder folder;
-    writeThree(folder.path());
+    writeThreeEntries(folder.path());
     const std::optional<StorageError> error = withStorage(folder.path(), [&](RaftStorage &storage) {
         const FullDisk full(storage.logBytes());
         return storage.persist(outputOf(9, {entryOf(4, 9)}));
     });
     CHECK(error == StorageError::Io);
-    CHECK(entriesIn(folder.path()) == 3);
+    CHECK(countEntries(folder.path()) == 3);
 }
 
-TEST_CASE("a log without an end is refused and does not take all memory")
+TEST_CASE("a log of unlimited size is rejected before it exhausts memory")
 {
     const TemporaryFolder folder;
-    writeThree(folder.path());
+    writeThreeEntries(folder.path());
     fs::remove(folder.path() / "log");
     fs::create_symlink("/dev/zero", folder.path() / "log");
     CHECK(openError(folder.path()) == StorageError::Io);
