--- a/src/reach_watch.h
+++ b/src/reach_watch.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Reach watch: to which replicas messages of consensus found no link. Such a message is lost, as on a network, and the
-// protocol makes up for it; but where each one is lost, a replica stands still while all its links look well.
+// Reachability tracker: records to which replicas there was no link for a Raft message. Such a message is dropped, which
+// Raft tolerates like packet loss; but if every message to a replica is dropped, that replica makes no progress although
+// its established links look healthy, so the change of state is reported.
 #pragma once
 
 #include "types.h"
@@ -13,7 +14,8 @@
 class ReachabilityTracker
 {
 public:
-    // A message to a replica found a link, or none. Whether that is news since the message before it.
+    // Records whether there was a link for a message to a replica. True if that has changed since the previous
+    // message; a replica counts as reachable at first.
     bool recordSend(ReplicaId replica, bool linked)
     {
         if (linked) {
@@ -23,7 +25,7 @@
         return m_unreachable.insert(replica).second;
     }
 
-    // Messages that found no link so far.
+    // Number of messages dropped for want of a link.
     std::uint64_t unsent() const
     {
         return m_unsent;
--- a/src/recovery_notes.h
+++ b/src/recovery_notes.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Recovery notes: what a replica wants to know at once after a restart, before a leader speaks to it. Lost
-// notes cost a second of service and nothing else.
+// Recovery notes: state that lets a replica serve right after a restart, before a leader has contacted it.
+// They are only an optimization: without them the replica serves about a second later.
 #pragma once
 
 #include "codec.h"
@@ -9,10 +9,10 @@
 namespace Robinrail {
 
 struct RecoveryNotes {
-    std::uint64_t disk = 0; // Whose log this is about.
-    LogIndex committed{}; // Entries up to here are committed, which never stops being true.
-    std::vector<TargetStatus> targets; // As last known.
-    std::vector<ReplicaPlace> replicas; // Where they were; balancers look for those of their own data centre.
+    std::uint64_t disk = 0; // Disk number of the log that `committed` refers to.
+    LogIndex committed{}; // Commit index. Entries up to it stay committed, so an outdated value is safe.
+    std::vector<TargetStatus> targets; // Last known state of the targets.
+    std::vector<ReplicaPlace> replicas; // Last known data centres of the replicas; balancers prefer replicas in their own.
 
     static constexpr std::size_t OldestFields = 3;
 
--- a/src/replica_calls.cpp
+++ b/src/replica_calls.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica node: what it is called for from outside, by targets and by operators.
+// Replica node: calls from targets and operators.
 #include "announcement_choice.h"
 #include "log.h"
 #include "net.h"
@@ -45,13 +45,14 @@
         return respond(CallOutcome::Unavailable);
     }
     if (document().table.version >= routing.table.version) {
-        // What is held is committed, so this is true at any replica, however far it lags.
+        // The local document is committed, so the answer is right at any replica, even one that lags.
         return respond(CallOutcome::Done);
     }
     propose(routing, std::move(respond));
 }
 
-// Other than a version, an order that was in force may have been withdrawn since: only its own commit answers it.
+// Unlike versions, drain orders can be reverted: the order may have been reverted on other replicas even if its effect
+// is seen here, so it is answered only when its own log entry is committed.
 void ReplicaNode::submit(const DataCentreOrder &order, Respond respond)
 {
     if (!m_driver) {
--- a/src/replica_driver.cpp
+++ b/src/replica_driver.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica driver: what does not depend on the state machine.
+// Replica driver: the parts that do not depend on the state machine.
 #include "replica_driver.h"
 
 #include "log.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Runs a step of the storage; false with a line in the log if it failed.
+// Runs a storage operation; logs an error and returns false if it fails.
 template<typename Step>
 bool succeedsOrLog(Step step)
 {
--- a/src/replica_driver.h
+++ b/src/replica_driver.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Replica driver: the loop between a replicated core and its disk: persist, send, apply, compact. Shared by
-// both kinds of replica.
+// Replica driver: connects a replicated core to its storage: persist, send, apply, compact. Shared by
+// control replicas and routing replicas.
 #pragma once
 
 #include "link_message.h"
@@ -11,19 +11,19 @@
 
 namespace Robinrail {
 
-// What becomes of a message from a peer.
+// Decision on a message from a peer.
 enum class Admission : std::uint8_t {
     Admitted,
-    Rejected, // It is meant for another disk, or comes from another cluster.
-    StorageFailed, // The cluster that it makes this replica join could not be written.
+    Rejected, // It is addressed to another disk number, or comes from another cluster.
+    StorageFailed, // The message would make this replica join a cluster, but the cluster id could not be persisted.
 };
 
 namespace detail {
 
-// Writes and syncs; false with a line in the log if the disk refused.
+// Writes and syncs an output; logs an error and returns false on failure.
 bool persistOrLog(RaftStorage &storage, const RaftOutput &output);
 
-// Admits a message for `self`. A replica that belongs to no cluster yet joins the sender's.
+// Checks the addressee and the cluster of a message. A replica that belongs to no cluster yet joins the sender's.
 Admission admitOrLog(RaftStorage &storage, ReplicaKey self, const RaftEnvelope &envelope);
 
 } // namespace detail
@@ -34,7 +34,7 @@
 public:
     using Core = ReplicatedCore<Machine>;
 
-    // Takes over what the storage holds. Entries up to `committed` are known to be committed.
+    // Starts from the recovered state of the storage. Entries up to `committed` are known to be committed.
     ReplicaDriver(RaftStorage storage, TimePoint now, std::uint32_t seed, const RaftPolicy &policy = {}, LogIndex committed = {})
         : m_storage(std::move(storage))
         , m_core(selfOf(m_storage), durableOf(m_storage, committed), now, seed, policy)
@@ -56,8 +56,8 @@
         return selfOf(m_storage);
     }
 
-    // One round: what the core wants is persisted and synced, then sent, then applied. False if the disk
-    // refused: nothing may be acknowledged any more.
+    // Processes the pending output of the core: persists and syncs it, sends the messages, applies committed
+    // entries and compacts the log if due. False on a storage failure, after which nothing may be acknowledged any more.
     template<typename Send>
     bool processOutput(Send send)
     {
@@ -72,19 +72,20 @@
         return !m_core.compactIfDue() || persist(compactionOutput());
     }
 
-    // How long writes with their syncs took.
+    // Duration of writes including the sync.
     const LatencyHistogram &syncTimes() const
     {
         return m_syncTimes;
     }
 
-    // A message on its way to a peer.
+    // Wraps a message for sending over a link.
     RaftEnvelope makeEnvelope(const RaftSend &send) const
     {
         return {m_storage.identity().cluster, self(), send.to, encodeMessage(send.message)};
     }
 
-    // Whether a peer's message may be handled; requests to join are for everybody and not asked about.
+    // Whether a peer's message may be handled. Not for join requests, which are addressed to any disk and
+    // may come from a replica without a cluster.
     Admission admit(const RaftEnvelope &envelope)
     {
         return detail::admitOrLog(m_storage, self(), envelope);
@@ -111,7 +112,7 @@
         return works;
     }
 
-    // The snapshot that the core has just made, and the entries behind it.
+    // Output that persists the snapshot that the core has just made and the entries after it.
     RaftOutput compactionOutput() const
     {
         RaftOutput output;
--- a/src/replica_folder.cpp
+++ b/src/replica_folder.cpp
@@ -18,7 +18,8 @@
 
 namespace {
 
-// The disk number of every seed at the first start; all others are drawn at random above it.
+// Disk number of every seed at the first start, so that each seed knows the keys of the others; all other disk
+// numbers are random and higher.
 constexpr std::uint64_t BootstrapDisk = 1;
 
 std::uint64_t randomDisk()
@@ -28,7 +29,7 @@
     return std::max(drawn, BootstrapDisk + 1);
 }
 
-// All seeds derive the same cluster number from each other.
+// Cluster id, derived from the list of seeds so that all of them compute the same one.
 std::uint64_t clusterOf(std::span<const ReplicaKey> voters)
 {
     std::uint64_t hash = voters.size();
@@ -38,7 +39,7 @@
     return std::max<std::uint64_t>(hash, 1);
 }
 
-// At the first start of all, the seeds are the voters, and each seed writes the same beginning of the log.
+// At the first start of a deployment, the seeds are the voters and each writes the same initial log.
 leaf::result<RaftStorage> bootstrapCluster(RaftStorage storage, const SteeringFile &file, ReplicaId self)
 {
     std::vector<ReplicaKey> voters;
--- a/src/replica_folder.h
+++ b/src/replica_folder.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Replica folder: opens the data folder of a routing replica, which begins its cluster together with the other
-// seeds at the first start of all, and reads the recovery notes beside it.
+// Replica folder: opens the data folder of a routing replica and reads the recovery notes in it. At the first
+// start of a deployment, the seeds bootstrap the cluster.
 #pragma once
 
 #include "raft_storage.h"
@@ -9,10 +9,11 @@
 
 namespace Robinrail {
 
-// The storage of a replica; StorageError with StorageContext if the disk refuses.
+// Opens the storage of a replica, bootstrapping the cluster if needed; fails with StorageError and StorageContext.
 boost::leaf::result<RaftStorage> openReplicaStorage(const SteeringFile &file, ReplicaId self);
 
-// The notes that go with this disk; empty ones, which only cost time, if there are none or they can't be read.
+// Recovery notes for the given disk number; empty if there are none, they belong to another disk or they can't
+// be read, which is safe but delays recovery.
 RecoveryNotes readRecoveryNotes(const std::filesystem::path &path, std::uint64_t disk);
 
 } // namespace Robinrail
--- a/src/replica_members.cpp
+++ b/src/replica_members.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica node: who belongs to the cluster, and the messages of consensus between its members.
+// Replica node: cluster membership and the Raft messages between members.
 #include "log.h"
 #include "replica_node.h"
 
@@ -37,8 +37,8 @@
     LogLine(LogLevel::Info, "members-changed").with("members", voters).with("term", value(raft().term()));
 }
 
-// The first change after a pause is told at once. Those that follow share a message: when a fleet starts, each replica
-// learns of all others within a second, and has hundreds of balancers to tell.
+// The first change after a pause is sent at once; further changes within ReplicaListInterval are combined into one message.
+// When a fleet starts, each replica learns of all others within a second and has to inform hundreds of balancers.
 void ReplicaNode::sendReplicaListIfDue(TimePoint now)
 {
     if (m_replicaListDue && now >= m_nextReplicaList) {
@@ -58,8 +58,8 @@
     return list;
 }
 
-// Asks to be taken in, as long as no leader speaks to this replica: its disk is new, or it was removed while
-// it was away.
+// Sends join requests as long as no leader contacts this replica: it has a new disk, or it was removed from
+// the configuration while it was away.
 void ReplicaNode::requestJoin(TimePoint now)
 {
     const bool alone = raft().role() == RaftRole::Joining || !raft().inContact(now);
@@ -79,7 +79,8 @@
     }
 }
 
-// The link for a message to a replica; 0 if it is lost for want of one, which is counted and said once.
+// The link for a message to a replica; 0 if there is none, so that the message is dropped. Dropped messages are
+// counted, and a change of reachability is logged.
 LinkHandle ReplicaNode::linkFor(ReplicaId replica)
 {
     const LinkHandle link = m_links.linkTo(replica);
@@ -101,7 +102,7 @@
         return;
     }
     if (!m_driver) {
-        ++m_refusedMessages; // The disk refused, which was said then.
+        ++m_refusedMessages; // The storage failure was logged when it occurred.
         return;
     }
     if (const auto *join = std::get_if<JoinRequest>(&*message)) {
@@ -112,7 +113,7 @@
         return onStorageFailure(monotonicNow());
     }
     if (admission == Admission::Rejected) {
-        ++m_refusedMessages; // For the disk that was here before, or of another cluster, which is said there.
+        ++m_refusedMessages; // For a former disk of this replica, or from another cluster, which admit() logs.
     }
     if (admission == Admission::Admitted) {
         m_driver->core().handle(monotonicNow(), envelope.from, *message);
@@ -120,7 +121,8 @@
     }
 }
 
-// A request to join goes on to the leader, once.
+// Forwards a join request to the leader. Only requests that come from the joining replica itself are forwarded, so that
+// they can't circulate.
 void ReplicaNode::onJoin(const RaftEnvelope &envelope, const JoinRequest &join)
 {
     const ReplicaKey leader = raft().leader();
@@ -132,7 +134,8 @@
     scheduleFlush();
 }
 
-// A replica that hears its leader and does not get what is committed looks well by its links and by its leader.
+// Logs when this replica starts or stops lagging. A replica that is in contact with its leader but does not receive the
+// committed entries looks healthy by its links and its leader.
 void ReplicaNode::updateLagState(TimePoint now)
 {
     const bool hearsLeader = m_driver && value(raft().leader().id) != 0 && raft().inContact(now);
@@ -148,7 +151,7 @@
     }
 }
 
-// What tells a member that lags from one that is not reached.
+// The metrics distinguish a member that lags from one that is unreachable.
 void ReplicaNode::addRaftMetrics(MetricsText &text) const
 {
     const bool leads = m_driver && raft().role() == RaftRole::Leader;
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica node: the disk, members, links and calls.
+// Replica node: storage, timer, balancers and links.
 #include "replica_node.h"
 
 #include "log.h"
@@ -20,7 +20,7 @@
 
 namespace {
 
-// The file of the recovery notes in the data folder.
+// File name of the recovery notes in the data folder.
 constexpr const char *NotesFile = "notes";
 
 RaftPolicy policyOf(const SteeringFile &file)
@@ -50,7 +50,7 @@
                [this](LinkHandle link, const NodeHello &peer) {
                    onClosed(link, peer);
                }})
-    , m_targets(m_links, monotonicNow(), place(), m_file.announceInterval, m_file.borneLoss())
+    , m_targets(m_links, monotonicNow(), ownPlace(), m_file.announceInterval, m_file.borneLoss())
     , m_prober(io)
     , m_notes(m_file.dataFolder / NotesFile)
     , m_timer(io)
@@ -89,8 +89,8 @@
 
 // ---- Storage ----
 
-// Opens the disk, or tries again later: a full or failing disk must not end the process, which still serves
-// the targets' announcements.
+// Opens the storage; on failure tick() retries later. A full or failing disk must not end the process, which can still
+// handle the announcements of targets.
 void ReplicaNode::openStorage(TimePoint now)
 {
     m_nextStorageAttempt = now + StorageRetryInterval;
@@ -121,7 +121,7 @@
         });
 }
 
-// Failed writes cost time after a restart and nothing else; the file says why in the log.
+// Failed writes only delay recovery after a restart; AsyncFileWriter logs the reason.
 void ReplicaNode::writeNotes()
 {
     m_notesDue = m_targets.takeChanged() || m_notesDue;
@@ -132,8 +132,8 @@
     m_notesDue = !m_notes.replace(encodeNotes(notes));
 }
 
-// After a refused write nothing may be acknowledged: what the core believes is thrown away and read anew
-// from the disk, as after a restart.
+// After a failed write nothing may be acknowledged: the state of the core is discarded and recovered from disk, as after a
+// restart.
 void ReplicaNode::onStorageFailure(TimePoint now)
 {
     ++m_storageFailures;
@@ -144,7 +144,7 @@
     }
 }
 
-// ---- The driver's loop: tick, persist, send, apply ----
+// ---- Driver loop: tick, persist, send, apply ----
 
 void ReplicaNode::tick()
 {
@@ -158,7 +158,7 @@
         requestJoin(now);
         flush();
     }
-    beat(now);
+    sendPeriodicUpdate(now);
     sendReplicaListIfDue(now);
     reportUnreachableTargets(now);
     m_targets.reconcile(now);
@@ -172,7 +172,7 @@
     });
 }
 
-// Everything that arrives in one turn of the event loop shares one sync.
+// Batches all messages that arrive in one turn of the event loop into one write and sync.
 void ReplicaNode::scheduleFlush()
 {
     if (m_flushScheduled) {
@@ -199,14 +199,14 @@
     }
     m_notesDue = m_notesDue || raft().commitIndex() != committed;
     for (const Driver::Core::Reply &reply : m_driver->core().takeReplies()) {
-        answer(reply);
+        completeCall(reply);
     }
     updateMembers();
     publishRoutingOffer();
     logLeaderChange();
 }
 
-void ReplicaNode::answer(const Driver::Core::Reply &reply)
+void ReplicaNode::completeCall(const Driver::Core::Reply &reply)
 {
     const auto at = m_pendingCalls.find(reply.ticket);
     if (at == m_pendingCalls.end()) {
@@ -226,19 +226,19 @@
 
 // ---- Balancers ----
 
-bool ReplicaNode::confirmed(TimePoint now) const
+bool ReplicaNode::confirmsRouting(TimePoint now) const
 {
-    return m_driver && m_versionTracker.isNewest(raft().caughtUp(now), progress());
+    return m_driver && m_versionTracker.isNewest(raft().caughtUp(now), routingProgress());
 }
 
-RoutingProgress ReplicaNode::progress() const
+RoutingProgress ReplicaNode::routingProgress() const
 {
     return {document().table.version, drains().revision()};
 }
 
-RoutingOffer ReplicaNode::offer(TimePoint now) const
+RoutingOffer ReplicaNode::currentOffer(TimePoint now) const
 {
-    RoutingOffer offer{progress(), confirmed(now), {}};
+    RoutingOffer offer{routingProgress(), confirmsRouting(now), {}};
     for (const std::string &name : drains().drained()) {
         offer.drained.push_back(m_file.dataCentreId(name));
     }
@@ -247,23 +247,24 @@
 
 void ReplicaNode::publishRoutingOffer()
 {
-    const RoutingOffer now = offer(monotonicNow());
-    const bool changed = now.progress != m_lastOffer.progress;
+    const RoutingOffer current = currentOffer(monotonicNow());
+    const bool changed = current.progress != m_lastOffer.progress;
     if (changed) {
         LogLine(LogLevel::Info, "routing-in-force")
-            .with("version", now.progress.version)
+            .with("version", current.progress.version)
             .with("routes", document().table.routes.size())
-            .with("drain-revision", now.progress.drainRevision)
-            .with("drained", now.drained.size());
+            .with("drain-revision", current.progress.drainRevision)
+            .with("drained", current.drained.size());
     }
-    // Balancers that have just started wait for a confirmed version; those that lost a quorum need not know.
-    if (changed || (now.confirmed && !m_lastOffer.confirmed)) {
-        m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), now);
+    // A first confirmation is sent at once, as balancers that have just started wait for it. The loss of the confirmation
+    // is not urgent and goes with the next periodic update.
+    if (changed || (current.confirmed && !m_lastOffer.confirmed)) {
+        m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), current);
     }
-    m_lastOffer = now;
+    m_lastOffer = current;
 }
 
-// Encodes a table once for all who ask: after a loss of power hundreds of balancers ask within a fraction of a second.
+// Encodes each table only once: after a power loss hundreds of balancers request it within a fraction of a second.
 void ReplicaNode::sendTable(LinkHandle link)
 {
     if (m_encodedTable.empty() || m_encodedVersion != document().table.version) {
@@ -276,7 +277,7 @@
 void ReplicaNode::reportUnreachableTargets(TimePoint now)
 {
     m_prober.turn(now);
-    const TargetsUnreachable found{place(), m_prober.takeUnreachable()};
+    const TargetsUnreachable found{ownPlace(), m_prober.takeUnreachable()};
     if (!found.keys.empty()) {
         m_links.sendAll(m_links.dialled(), found);
         m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), found);
@@ -284,7 +285,7 @@
     }
 }
 
-void ReplicaNode::beat(TimePoint now)
+void ReplicaNode::sendPeriodicUpdate(TimePoint now)
 {
     if (now < m_nextUpdate) {
         return;
@@ -292,7 +293,7 @@
     m_nextUpdate = now + ReplicaUpdateInterval;
     writeNotes();
     updateLagState(now);
-    const RoutingOffer current = offer(now);
+    const RoutingOffer current = currentOffer(now);
     m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), current);
     m_links.sendAll(m_links.dialled(), current);
     m_targets.beat(now);
@@ -306,7 +307,7 @@
     if (peer.role == NodeRole::Replica) {
         const bool moved = std::exchange(m_dataCentres[peer.replica], peer.dataCentre) != peer.dataCentre;
         if (moved) {
-            // Balancers of its data centre look for it there.
+            // Balancers prefer replicas in their own data centre, so they need the updated list.
             m_replicaListDue = true;
             sendReplicaListIfDue(now);
         }
@@ -317,7 +318,7 @@
         m_targets.linked(peer.replica, link);
     } else {
         m_links.send(link, replicaList());
-        m_links.send(link, offer(now));
+        m_links.send(link, currentOffer(now));
     }
 }
 
@@ -365,13 +366,14 @@
     }
 }
 
-// A balancer reports to one replica, which names those that are to probe, as several must agree.
+// A balancer reports unanswered targets to one replica, which selects the replicas that probe them: several must agree
+// before a target counts as unreachable.
 void ReplicaNode::onUnanswered(const NodeHello &peer, const TargetsUnanswered &list)
 {
     if (peer.role == NodeRole::Replica) {
         return probe(list);
     }
-    const std::size_t probers = 2 * m_file.borneLosses + 1; // So that enough are left of them when a borne loss has struck.
+    const std::size_t probers = 2 * m_file.borneLosses + 1; // Enough remain after the number of losses that must be tolerated.
     const std::vector<ReplicaPlace> reachable = reachableReplicas();
     std::map<ReplicaId, TargetsUnanswered> shares;
     for (const TargetKey key : list.keys) {
@@ -396,15 +398,15 @@
     });
 }
 
-ReplicaPlace ReplicaNode::place() const
+ReplicaPlace ReplicaNode::ownPlace() const
 {
     return {m_self, m_file.dataCentreId(m_file.dataCentre)};
 }
 
-// This replica and those that it is linked with.
+// This replica and those that it has a link to.
 std::vector<ReplicaPlace> ReplicaNode::reachableReplicas() const
 {
-    std::vector<ReplicaPlace> reachable{place()};
+    std::vector<ReplicaPlace> reachable{ownPlace()};
     for (const auto &[replica, dataCentre] : m_dataCentres) {
         if (replica != m_self && m_links.linkTo(replica) != 0) {
             reachable.push_back({replica, dataCentre});
@@ -413,7 +415,7 @@
     return reachable;
 }
 
-// ---- Small questions ----
+// ---- Accessors ----
 
 const RoutingDocument &ReplicaNode::document() const
 {
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Replica node: a routing replica with its disk and its links. It finds the other replicas through seeds,
-// keeps the targets' announcements, and answers typed calls; whoever owns it speaks to the outside.
+// Replica node: a routing replica with its storage and links. It finds the other replicas through the seeds,
+// maintains the target directory and answers typed calls; its owner provides the external API.
 #pragma once
 
 #include "background_file.h"
@@ -21,30 +21,30 @@
 
 namespace Robinrail {
 
-// The replica's clock runs in steps of this, a third of a raft heartbeat.
+// Interval of the replica's timer, a third of RaftHeartbeat.
 inline constexpr std::chrono::milliseconds ReplicaTick{25};
 
-// A replica that no leader speaks to asks to be taken in this often.
+// Interval between the join requests of a replica that no leader contacts.
 inline constexpr Duration JoinRetryInterval = std::chrono::milliseconds(400);
 
-// A voter that was silent for this long gives its vote to a spare. Above the pause of an election, below the
-// time after which a second loss must be borne (4 s on the smallest deployment).
+// A voter not heard from for this long is replaced by a spare. Longer than the interruption by an election, and
+// shorter than the time after which a second loss must be tolerated (4 s on the smallest deployment).
 inline constexpr Duration VoterReplacementTimeout = std::chrono::milliseconds(1500);
 
-// Replicas tell each other this often whom they heard, and all linked nodes which version is in force.
+// Interval at which replicas tell each other which targets they hear, and all linked nodes which routing version is in force.
 inline constexpr Duration ReplicaUpdateInterval = std::chrono::milliseconds(500);
 
-// Balancers are told where replicas are this often at most.
+// Minimum interval between the replica lists that are sent to balancers.
 inline constexpr Duration ReplicaListInterval = std::chrono::milliseconds(100);
 
-// A disk that refused a write is tried again this often.
+// Interval between attempts to reopen the storage after a failure.
 inline constexpr Duration StorageRetryInterval = std::chrono::milliseconds(500);
 
-// How a call ended.
+// Result of a call.
 enum class CallOutcome : std::uint8_t {
     Done,
-    NotLeader, // Ask the leader.
-    Unavailable, // Ask again, or another replica; a change may or may not have been made.
+    NotLeader, // Nothing was done; retry at the leader.
+    Unavailable, // Retry, here or at another replica; a change may or may not have been made.
 };
 
 class ReplicaNode
@@ -55,45 +55,46 @@
     // `file` must have a data folder.
     ReplicaNode(boost::asio::io_context &io, SteeringFile file);
 
-    // Binds and begins; false if the address can't be bound.
+    // Opens the storage, listens for links and starts the timer; false if the address can't be bound.
     bool start();
 
-    // Takes changed settings; only the seeds can change while it runs.
+    // Applies changed settings; only the seeds can be changed at run time.
     void reload(const SteeringFile &file);
 
-    // The process is about to end: says so, and what passed over the links.
+    // Logs that the process is stopping, and the link traffic so far.
     void beginStop();
 
-    // A target announced itself. Done: it is known, and if it drains, no borne loss can undo that.
+    // Handles the announcement of a target. Done: it is in the directory, and if it drains, the drain survives any
+    // loss of replicas that the deployment tolerates.
     void announce(const TargetRecord &record, Respond respond);
 
-    // A target's lifetime ends, whichever is held if `born` is 0. The same promise.
+    // Ends the lifetime of a target that began at `born`, or the current one if `born` is 0. Done: as for announce().
     void leave(TargetKey key, std::uint64_t born, Respond respond);
 
-    // A document that was checked. Done: it or a higher version is in force for good.
+    // Proposes a validated routing document. Done: it or a higher version is committed.
     void submit(const RoutingDocument &document, Respond respond);
 
-    // An order to drain a data centre or to take it back. Done: it is in force for good, or until the opposite order.
+    // Proposes to drain a data centre or to end its drain. Done: the order is committed and holds until the opposite order.
     void submit(const DataCentreOrder &order, Respond respond);
 
-    // A linearizable read: when it is Done, document() is the newest.
+    // Performs a linearizable read: on Done, document() is the newest committed one.
     void read(Respond respond);
 
-    // A call from outside was refused before it came here, for this reason.
+    // Counts and logs an external call that the owner rejected before passing it on.
     void countRefusedCall(std::string_view call, std::string_view reason);
 
-    // Where this target should make its announcements from now on: one replica for each, so that it keeps one
-    // connection, in its own data centre if one there can be reached. Empty: wherever it likes.
+    // Where a target should send its announcements from now on: always the same replica, so that it keeps one
+    // connection, and one in its own data centre if reachable. Empty: any replica.
     std::optional<Endpoint> announcementEndpoint(const TargetRecord &record) const;
 
     const RoutingDocument &document() const;
     const DataCentreDrains &drains() const;
     const SteeringFile &settings() const;
 
-    // Where the leader takes calls; port 0 if it is not known.
+    // Admin endpoint of the leader; port 0 if the leader is unknown or is this replica.
     Endpoint leaderAdmin() const;
 
-    // Figures of this replica in the Prometheus text format.
+    // Metrics of this replica in the Prometheus text format.
     std::string metricsText() const;
 
 private:
@@ -110,20 +111,20 @@
     LinkHandle linkFor(ReplicaId replica);
     void updateLagState(TimePoint now);
     void addRaftMetrics(MetricsText &text) const;
-    void answer(const Driver::Core::Reply &reply);
+    void completeCall(const Driver::Core::Reply &reply);
     void requestJoin(TimePoint now);
-    void beat(TimePoint now);
+    void sendPeriodicUpdate(TimePoint now);
     void updateMembers();
     void propose(const RoutingChange &change, Respond respond);
-    RoutingProgress progress() const;
-    RoutingOffer offer(TimePoint now) const;
+    RoutingProgress routingProgress() const;
+    RoutingOffer currentOffer(TimePoint now) const;
     void publishRoutingOffer();
     ReplicaList replicaList() const;
     void sendReplicaListIfDue(TimePoint now);
     void onClosed(LinkHandle link, const NodeHello &peer);
     void onUnanswered(const NodeHello &peer, const TargetsUnanswered &list);
     void probe(const TargetsUnanswered &list);
-    ReplicaPlace place() const;
+    ReplicaPlace ownPlace() const;
     std::vector<ReplicaPlace> reachableReplicas() const;
     void reportUnreachableTargets(TimePoint now);
     void sendTable(LinkHandle link);
@@ -133,13 +134,13 @@
     void onMessage(LinkHandle link, const NodeHello &peer, const NodeMessage &message);
     void onRaft(const RaftEnvelope &envelope);
     void onJoin(const RaftEnvelope &envelope, const JoinRequest &join);
-    bool confirmed(TimePoint now) const;
+    bool confirmsRouting(TimePoint now) const;
     std::set<ReplicaId> knownReplicas() const;
 
     boost::asio::io_context &m_io;
     SteeringFile m_file;
     ReplicaId m_self;
-    std::optional<Driver> m_driver; // Empty while the disk refuses to work.
+    std::optional<Driver> m_driver; // Empty while the storage can't be opened or after it failed.
     TimePoint m_nextStorageAttempt;
     NodeLinks m_links;
     BasicTargetExchange<NodeLinks> m_targets;
@@ -153,17 +154,17 @@
     TimePoint m_nextJoinRequest;
     TimePoint m_nextUpdate;
     TimePoint m_nextReplicaList;
-    bool m_replicaListDue = false; // Balancers must hear of a change of the replicas or of where they are.
-    RoutingOffer m_lastOffer; // What the balancers were last told.
+    bool m_replicaListDue = false; // The replicas or their data centres have changed since the last list was sent.
+    RoutingOffer m_lastOffer; // Last one sent to the balancers.
     VersionTracker m_versionTracker; // Of the other replicas.
-    Bytes m_encodedTable; // As a message, of m_encodedVersion.
+    Bytes m_encodedTable; // Encoded RoutingUpdate with the table of version m_encodedVersion.
     std::uint64_t m_encodedVersion = 0;
     std::map<ReplicaId, DataCentreId> m_dataCentres;
     ClusterConfig m_knownConfig;
     ReplicaKey m_loggedLeader;
     ReachabilityTracker m_reachability;
-    bool m_lagging = false; // It hears its leader and lacks what is committed, as of the last beat.
-    std::uint64_t m_refusedMessages = 0; // Of consensus.
+    bool m_lagging = false; // In contact with the leader without having all committed entries, as of the last update.
+    std::uint64_t m_refusedMessages = 0; // Raft messages.
     LogBudget m_unreadableLogBudget;
     std::uint64_t m_refusedCalls = 0;
     LogBudget m_refusedLogBudget;
--- a/src/replicated_core.h
+++ b/src/replicated_core.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replicated core: a replica without I/O, that is consensus, a state machine and whoever waits for answers.
+// Replicated core: a replica without I/O. Combines the Raft core, a state machine and the pending client requests.
 #pragma once
 
 #include "raft_core.h"
@@ -12,12 +12,12 @@
 
 namespace Robinrail {
 
-// After this many applied entries the log is replaced by a snapshot of the state.
+// The log is compacted into a snapshot after this many applied entries.
 inline constexpr std::uint64_t CompactionInterval = 4096;
 
-// What consensus replicates. Deterministic: the same commands in the same order give the same state.
+// The replicated state machine. Must be deterministic: the same commands in the same order give the same state.
 template<typename M>
-concept StateMachine = requires(M &machine, const M &sound, BytesView bytes, const typename M::Change &change)
+concept StateMachine = requires(M &machine, const M &constMachine, BytesView bytes, const typename M::Change &change)
 {
     {
         M::encodeChange(change)
@@ -26,7 +26,7 @@
         machine.applyCommand(bytes)
         } -> std::same_as<typename M::Result>;
     {
-        sound.serialize()
+        constMachine.serialize()
         } -> std::same_as<Bytes>;
     {
         machine.restore(bytes)
@@ -36,11 +36,11 @@
         } -> std::convertible_to<std::size_t>;
 };
 
-// How a request to a replica ended.
+// Result of a request to a replica.
 enum class RequestStatus : std::uint8_t {
     Done,
-    NotLeader, // Nothing was done; ask the leader.
-    Unknown, // The change may be applied or not; send it again.
+    NotLeader, // Nothing was done; retry at the leader.
+    Unknown, // The change may or may not be applied; retry.
 };
 
 template<StateMachine Machine>
@@ -50,7 +50,7 @@
     struct Reply {
         std::uint64_t ticket = 0;
         RequestStatus status = RequestStatus::Done;
-        typename Machine::Result result; // Of a change that is done.
+        typename Machine::Result result; // Result of the change if the status is Done.
     };
 
     ReplicatedCore(ReplicaKey self, PersistentRaftState durable, TimePoint now, std::uint32_t seed, RaftPolicy policy = {})
@@ -73,7 +73,7 @@
         failPendingRequests();
     }
 
-    // Proposes a change; its reply with this ticket comes from takeReplies().
+    // Proposes a change; takeReplies() returns the reply with this ticket.
     void submit(TimePoint now, std::uint64_t ticket, const typename Machine::Change &change)
     {
         const std::optional<LogIndex> index = m_raft.propose(now, Machine::encodeChange(change));
@@ -84,7 +84,7 @@
         m_pendingChanges[*index] = {ticket, m_raft.term()};
     }
 
-    // Asks for a linearizable read: once the reply with this ticket is Done, state() may be read.
+    // Requests a linearizable read: once the reply with this ticket is Done, state() may be read.
     void read(TimePoint now, std::uint64_t ticket)
     {
         m_unconfirmedReads.insert(ticket);
@@ -94,19 +94,19 @@
         }
     }
 
-    // Says in which data centre a replica is; voters are spread over them.
+    // Sets the data centre of a replica; voters are spread over the data centres.
     void setDataCentre(ReplicaId replica, DataCentreId dataCentre)
     {
         m_raft.setDataCentre(replica, dataCentre);
     }
 
-    // What must be persisted, then sent. After that the driver calls apply() with the same output.
+    // Output to persist and then to send. After that the driver calls apply() with the same output.
     RaftOutput takeOutput()
     {
         return m_raft.takeOutput();
     }
 
-    // Applies what was committed; call it once the output is persisted and synced.
+    // Applies the committed entries; to be called once the output is persisted and synced.
     void apply(const RaftOutput &output)
     {
         if (output.snapshot) {
@@ -122,7 +122,7 @@
         answerReads();
     }
 
-    // Replaces the log by a snapshot if it has grown; true if the driver must write raft().snapshot().
+    // Compacts the log into a snapshot if it has grown enough; true if the driver must persist raft().snapshot().
     bool compactIfDue()
     {
         const bool many = value(m_applied) >= value(m_raft.snapshot().index) + CompactionInterval;
@@ -157,9 +157,9 @@
 
     void restore(const Snapshot &snapshot)
     {
-        // The first snapshot of a cluster may be empty: nothing was applied yet.
-        [[maybe_unused]] const bool sound = snapshot.state.empty() || m_state.restore(snapshot.state);
-        assert(sound);
+        // The state is empty if nothing was applied before the snapshot.
+        [[maybe_unused]] const bool restored = snapshot.state.empty() || m_state.restore(snapshot.state);
+        assert(restored);
         m_applied = snapshot.index;
         m_appliedBytes = 0;
     }
@@ -192,7 +192,7 @@
         });
     }
 
-    // A replica that no longer leads can't say what becomes of the changes that it proposed.
+    // A replica that is no longer the leader can't tell whether the changes that it proposed will be committed.
     void failPendingRequests()
     {
         if (m_raft.role() == RaftRole::Leader) {
@@ -211,10 +211,10 @@
     RaftCore m_raft;
     Machine m_state;
     LogIndex m_applied{};
-    std::size_t m_appliedBytes = 0; // Of the entries since the last snapshot.
+    std::size_t m_appliedBytes = 0; // Size of the entries applied since the last snapshot.
     std::map<LogIndex, PendingChange> m_pendingChanges;
-    std::vector<ConfirmedRead> m_confirmedReads; // Confirmed, but not applied far enough yet.
-    std::set<std::uint64_t> m_unconfirmedReads; // Asked for and not confirmed.
+    std::vector<ConfirmedRead> m_confirmedReads; // Waiting until their index is applied.
+    std::set<std::uint64_t> m_unconfirmedReads; // Tickets of reads that wait for the leadership check.
     std::vector<Reply> m_replies;
 };
 
