--- a/src/routing_state.h
+++ b/src/routing_state.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Routing state: what a cluster whose operators are trusted by their network agrees on, that is the routing document and
-// the data centres that are drained. The document's text is kept as it was sent, so that a read returns it unchanged.
+// Routing state: the state machine of the routing replicas, consisting of the routing document and the drained data
+// centres. Changes are not signed: operators are trusted by their network. The document's text is kept as it was sent, so
+// that a read returns it unchanged.
 #pragma once
 
 #include "codec.h"
@@ -12,7 +13,7 @@
 
 namespace Robinrail {
 
-// A checked document: the text that the operator sent, and what balancers need of it.
+// A validated routing document: the text that the operator sent, and the routing table derived from it.
 struct RoutingDocument {
     std::string text;
     RoutingTable table;
@@ -23,10 +24,10 @@
     }
 };
 
-// A change as the log carries it. The order of the alternatives is the format on disk.
+// A change as stored in the log. The order of the alternatives is part of the disk format.
 using RoutingChange = std::variant<RoutingDocument, DataCentreOrder>;
 
-// The held version after a change, which is the proposed one or a higher one.
+// Result of a change, with the version of the document in force after it.
 struct RoutingResult {
     VersionVerdict verdict = VersionVerdict::Superseded;
     std::uint64_t held = 0;
@@ -34,7 +35,7 @@
 
 namespace detail {
 
-// The whole state, as it goes into a snapshot.
+// The whole state as stored in a snapshot.
 struct FullRoutingState {
     RoutingDocument document;
     DataCentreDrains drains;
@@ -45,7 +46,7 @@
     }
 };
 
-// Snapshots of earlier releases are a document alone.
+// Snapshots of earlier releases consist of the document alone.
 using RoutingSnapshot = std::variant<RoutingDocument, FullRoutingState>;
 
 } // namespace detail
@@ -57,7 +58,7 @@
     using Change = RoutingChange;
     using Result = RoutingResult;
 
-    // Entries of this many bytes are replaced by a snapshot. A document has up to 100 KB and a disk 128 MB.
+    // The log is compacted after this many bytes of entries. A document has up to 100 KB, and a disk 128 MB.
     static constexpr std::size_t CompactionBytes = std::size_t{1} << 20U;
 
     static Bytes encodeChange(const RoutingChange &change)
@@ -99,7 +100,7 @@
         return true;
     }
 
-    // Version 0 as long as there is none.
+    // Version 0 if there is no document yet.
     const RoutingDocument &document() const
     {
         return m_document;
--- a/src/routing_table.h
+++ b/src/routing_table.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Routing table: the addresses that callers use, and the services behind them.
+// Routing table: maps the addresses that callers use to services.
 #pragma once
 
 #include "types.h"
@@ -10,7 +10,7 @@
 
 namespace Robinrail {
 
-// A service of a route, by its position in the table, with its share of new flows.
+// A service of a route, by its index in RoutingTable::services, with its weight for new flows.
 struct WeightedService {
     std::uint16_t service = 0;
     std::uint32_t weight = 1;
@@ -23,7 +23,7 @@
     }
 };
 
-// New flows to an address are divided among its services by weight.
+// An address and the services among which its new flows are distributed by weight.
 struct Route {
     Endpoint address;
     std::vector<WeightedService> services;
@@ -36,10 +36,10 @@
     }
 };
 
-// How the targets of a service behave after their start.
+// Warm-up of the targets of a service after their start.
 struct ServiceWarmup {
-    Duration duration{}; // How long they are slow; 0: not told.
-    bool limited = false; // Meanwhile they bear only so many requests a second, from all balancers together.
+    Duration duration{}; // How long the targets are slow; 0: not specified.
+    bool limited = false; // During the warm-up they can serve only a limited rate of requests, from all balancers together.
 
     bool operator==(const ServiceWarmup &) const = default;
 
@@ -51,10 +51,10 @@
 
 struct RoutingTable {
     std::uint64_t version = 0; // 0: none.
-    Duration idleTimeout{}; // A flow that rested for so long may be forgotten.
+    Duration idleTimeout{}; // A flow without packets for this long may be removed.
     std::vector<std::string> services;
     std::vector<Route> routes;
-    std::vector<ServiceWarmup> warmups; // By service; shorter if the last ones told nothing.
+    std::vector<ServiceWarmup> warmups; // By service index; services beyond the end have no warm-up specified.
 
     static constexpr std::size_t OldestFields = 4;
 
@@ -71,7 +71,7 @@
     }
 };
 
-// Most services and routes of a table; what is larger is refused.
+// Limits of a table; larger ones are rejected.
 inline constexpr std::size_t MaxServices = 10'000;
 inline constexpr std::size_t MaxRoutes = 50'000;
 
--- a/src/version_order.h
+++ b/src/version_order.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Version order: which of two versions of a configuration wins.
+// Version order: decides whether a proposed version of a configuration is applied.
 #pragma once
 
 #include <concepts>
@@ -7,14 +7,14 @@
 
 namespace Robinrail {
 
-// What becomes of a proposed version.
+// Decision on a proposed version.
 enum class VersionVerdict : std::uint8_t {
     Apply,
-    Superseded, // A version that is as high or higher is held already: nothing to do, and no error.
-    Conflict, // Built on a version that is not the held one.
+    Superseded, // The current version is the same or higher: nothing to do, and no error.
+    Conflict, // The base version of the change is not the current one.
 };
 
-// A policy of ordering: the held version, the one that the change builds on, and the proposed one.
+// Ordering policy. Parameters of evaluate(): current version, base version of the change, proposed version.
 template<typename O>
 concept VersionOrder = requires(std::uint64_t version)
 {
@@ -23,7 +23,7 @@
         } -> std::same_as<VersionVerdict>;
 };
 
-// Each change names the version that it replaces, so that of two racing changes one is told to think again.
+// Optimistic concurrency: each change names the version that it replaces, and the second of two concurrent changes is rejected.
 struct CompareAndSet {
     static VersionVerdict evaluate(std::uint64_t held, std::uint64_t base, std::uint64_t /*proposed*/)
     {
@@ -31,8 +31,8 @@
     }
 };
 
-// The highest version holds, whatever it was built on. Resending is harmless: a version that is not above
-// the held one changes nothing.
+// The highest version wins, whatever its base. Resending is idempotent: a version that is not above the
+// current one changes nothing.
 struct HighestVersion {
     static VersionVerdict evaluate(std::uint64_t held, std::uint64_t /*base*/, std::uint64_t proposed)
     {
--- a/src/version_watch.h
+++ b/src/version_watch.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Version watch: whether a replica may say that no newer routing than its own was accepted before now.
+// Version tracker: decides whether a replica may confirm its routing version as the newest one accepted so far.
 //
-// The pattern that it answers: a balancer follows one replica and believes its word. A replica that hears its leader may
-// still lag behind: while it catches up, or if its log can't be applied. What the other replicas have in force is the
-// proof against it, whatever the reason for its lag.
+// A balancer follows a single replica and relies on that confirmation. A replica in contact with its leader may still lag:
+// while it catches up, or if its log can't be applied. The versions that the other replicas report as in force reveal
+// this, whatever the cause of the lag.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace Robinrail {
 
-// How new a replica's routing is. Both numbers only rise, each by itself.
+// Version of a replica's routing state. Both numbers only increase, independently of each other.
 struct RoutingProgress {
     std::uint64_t version = 0; // Of the routing table.
     std::uint64_t drainRevision = 0; // Of the list of drained data centres.
@@ -27,21 +27,21 @@
 class VersionTracker
 {
 public:
-    // Another replica has this in force.
+    // Records what another replica reports as in force.
     void observeInForce(const RoutingProgress &progress)
     {
         m_highest.version = std::max(m_highest.version, progress.version);
         m_highest.drainRevision = std::max(m_highest.drainRevision, progress.drainRevision);
     }
 
-    // `caughtUp`: this replica held all that its quorum or its leader had of late. `own`: what it has in force.
+    // `caughtUp`: see RaftCore::caughtUp(). `own`: what this replica has in force.
     bool isNewest(bool caughtUp, const RoutingProgress &own) const
     {
         return caughtUp && own.reaches(m_highest);
     }
 
 private:
-    RoutingProgress m_highest; // In force at any other replica.
+    RoutingProgress m_highest; // Highest numbers reported by any other replica.
 };
 
 } // namespace Robinrail
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -159,7 +159,7 @@
 mutate "a torn record is taken" src/raft_storage.cpp 'if (loadInteger<std::uint64_t>(bytes, at + 8) != checksum(length, payload)) {' \
     'if (length > MaxRecord) {' '*damaged record*,*torn record*'
 mutate "raft: hearing the leader is enough" src/raft_replication.cpp 'if (m_commit >= request.commit) {' 'if (m_commit <= request.commit) {' \
-    '*does not vouch for its table before*'
+    '*does not confirm its routing table before*'
 mutate "drains: a drained data centre gets new flows" src/flow_steering.cpp '&& !m_routes.isDrained(target.record.dataCentre)' '' '*drained data centre gets no new flows*'
 mutate "drains: a taken back data centre is warm" src/flow_steering.cpp 'now + m_routes.longestWarmup()' 'now' '*taken back warm up*'
 mutate "drains: an announcement ends the warm-up" src/steering_targets.cpp 'std::max(target.warmAt, now + news.record.warmupLeft)' \
--- a/tests/test_version_watch.cpp
+++ b/tests/test_version_watch.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Version watch: which replicas vouch for what they have in force.
+// Tests of the version tracker: when a replica may confirm its routing version as the newest one.
 #include "raft_core.h"
 #include "version_watch.h"
 
@@ -15,32 +15,32 @@
 
 } // namespace
 
-TEST_CASE("a replica that lags behind another one does not vouch for its version, although it hears its leader")
+TEST_CASE("a replica that lags behind another one does not confirm its version, although it is in contact with its leader")
 {
-    VersionTracker watch;
-    CHECK(watch.isNewest(true, {}));
-    watch.observeInForce({11, 0});
-    CHECK_FALSE(watch.isNewest(true, {5, 0}));
-    CHECK(watch.isNewest(true, {11, 0}));
-    watch.observeInForce({5, 0}); // One that lags even more.
-    CHECK_FALSE(watch.isNewest(true, {5, 0}));
-    CHECK(watch.isNewest(true, {14, 0}));
-    CHECK_FALSE(watch.isNewest(false, {14, 0}));
-    watch.observeInForce({5, 2});
-    CHECK_FALSE(watch.isNewest(true, {14, 1}));
-    CHECK(watch.isNewest(true, {14, 2}));
+    VersionTracker tracker;
+    CHECK(tracker.isNewest(true, {}));
+    tracker.observeInForce({11, 0});
+    CHECK_FALSE(tracker.isNewest(true, {5, 0}));
+    CHECK(tracker.isNewest(true, {11, 0}));
+    tracker.observeInForce({5, 0}); // From a replica that lags further behind.
+    CHECK_FALSE(tracker.isNewest(true, {5, 0}));
+    CHECK(tracker.isNewest(true, {14, 0}));
+    CHECK_FALSE(tracker.isNewest(false, {14, 0}));
+    tracker.observeInForce({5, 2});
+    CHECK_FALSE(tracker.isNewest(true, {14, 1}));
+    CHECK(tracker.isNewest(true, {14, 2}));
 }
 
-TEST_CASE("a follower that lost an entry hears its leader for as long as its refusals do not get through")
+TEST_CASE("a follower that misses an entry is in contact with its leader but not caught up while its rejections of appends are lost")
 {
     constexpr ReplicaKey Leader{ReplicaId{2}, 1};
     constexpr std::uint64_t Confirmed = 11;
     RaftCore follower({ReplicaId{1}, 1}, {}, Start, 7);
-    VersionTracker watch;
+    VersionTracker tracker;
     for (TimePoint now = Start; now < Start + seconds(10); now += RaftHeartbeat) {
         AppendRequest heartbeat;
         heartbeat.term = Term{3};
-        heartbeat.previousIndex = LogIndex{5}; // The leader sent it, and it was lost with a link.
+        heartbeat.previousIndex = LogIndex{5}; // The leader sent this entry, but it was lost with a link.
         heartbeat.previousTerm = Term{3};
         heartbeat.commit = LogIndex{5};
         follower.handle(now, Leader, heartbeat);
@@ -48,12 +48,12 @@
         CHECK(follower.inContact(now));
         CHECK(follower.commitIndex() == LogIndex{0});
         CHECK_FALSE(follower.caughtUp(now));
-        watch.observeInForce({Confirmed, 0});
-        CHECK_FALSE(watch.isNewest(follower.inContact(now), {5, 0}));
+        tracker.observeInForce({Confirmed, 0});
+        CHECK_FALSE(tracker.isNewest(follower.inContact(now), {5, 0}));
     }
 }
 
-TEST_CASE("a replica that has just restarted does not vouch for its table before its leader has told what is committed")
+TEST_CASE("a restarted replica does not confirm its routing table before it has reached the commit index of its leader")
 {
     PersistentRaftState disk = RaftCore::bootstrap(std::vector<ReplicaKey>{{ReplicaId{1}, 1}, {ReplicaId{2}, 1}, {ReplicaId{3}, 1}});
     constexpr ReplicaKey Leader{ReplicaId{2}, 1};
@@ -65,7 +65,7 @@
     heartbeat.term = Term{3};
     heartbeat.previousIndex = held;
     heartbeat.previousTerm = term;
-    heartbeat.commit = LogIndex{value(held) + 1}; // The entry itself is still on its way.
+    heartbeat.commit = LogIndex{value(held) + 1}; // The entry itself has not arrived yet.
     follower.handle(Start + milliseconds(50), Leader, heartbeat);
     CHECK(follower.inContact(Start + milliseconds(50)));
     CHECK_FALSE(follower.caughtUp(Start + milliseconds(50)));
