--- a/tests/control_cluster.cpp
+++ b/tests/control_cluster.cpp
@@ -26,7 +26,7 @@
 {
     Genesis genesis;
     for (const char *name : {"first", "second"}) {
-        // Seeded keys, so that runs are the same.
+        // Random keys; the schedule does not depend on their values.
         KeyPair pair = generateKeyPair();
         m_keys[name] = pair;
         genesis.operators.push_back({name, pair.publicKey, OperatorRole::Administrator, false});
@@ -127,7 +127,7 @@
     flush(node);
 }
 
-// The driver's order: persist, send, apply, answer.
+// Processes the output in the order of the driver: persist, send, apply, answer.
 void ControlCluster::flush(Node &node)
 {
     const RaftOutput output = node.core->takeOutput();
@@ -178,7 +178,7 @@
             continue;
         }
         const Duration delay(static_cast<std::int64_t>(uniform() * static_cast<double>(m_options.longestDelay.count())));
-        // Through the codec, as on a link.
+        // Messages pass through the codec, as on a real link.
         const Bytes bytes = encodeMessage(message.message);
         after(delay, [this, &from, sender = from.key, to = message.to, bytes] {
             Node &target = node(value(to.id));
@@ -193,7 +193,7 @@
     }
 }
 
-// A replica that does not lead hands a request to join on to its leader, once.
+// A replica that is not the leader forwards a join request to its leader, if it comes from the joining replica itself.
 void ControlCluster::deliver(Node &target, ReplicaKey sender, const Bytes &bytes)
 {
     const RaftMessage message = *decodeMessage<RaftMessage>(bytes);
--- a/tests/control_cluster.h
+++ b/tests/control_cluster.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Control cluster: control replicas on a fake network, fake disks and fake clocks, with invariants that
-// are checked at every step.
+// Control cluster: deterministic simulation of control replicas with a simulated network, disks and clocks.
+// The invariants of consensus are checked after every event.
 #pragma once
 
 #include "control_core.h"
@@ -17,14 +17,15 @@
 struct ClusterOptions {
     int replicas = 3;
     std::uint64_t seed = 1;
-    double drop = 0;
-    double duplicate = 0;
+    double drop = 0; // Probability that a message is lost.
+    double duplicate = 0; // Probability that a message is duplicated.
     Duration longestDelay = std::chrono::milliseconds(20);
-    double clockSkew = 0; // Clocks run up to this part faster or slower.
-    int seeds = 1; // Replicas that begin the cluster together.
+    double clockSkew = 0; // Clocks run faster or slower by up to this fraction.
+    int seeds = 1; // Replicas that bootstrap the cluster.
     RaftPolicy policy = {};
-    // How long a link takes to come up. Replicas dial `seeds` ones from their start and the members that they know, and what
-    // one sends needs a link that either of the two dialled. A replica with another disk has another address. 0: all reach all.
+    // Time to establish a link. Replicas dial the seeds from their start and all members that they know; a message needs a
+    // link that either of the two replicas dialled. A replica with a new disk has a new address. 0: all replicas are always
+    // linked.
     Duration linkTime = {};
 };
 
@@ -33,43 +34,43 @@
 public:
     explicit ControlCluster(const ClusterOptions &options);
 
-    // Lets time pass; checks the invariants after every event.
+    // Advances the simulated time, checking the invariants after every event.
     void run(Duration duration);
 
-    // Runs until the condition holds, at most so long; whether it does.
+    // Runs until the condition holds or `longest` has passed; whether it holds.
     bool runUntil(const std::function<bool()> &condition, Duration longest = std::chrono::seconds(30));
 
     void crash(int number);
-    // The next sync of the replica fails: it goes down with what it had synced before.
+    // Makes the next sync of the replica fail: it crashes, keeping only what it had synced before.
     void failNextSync(int number);
     void restart(int number);
-    // Loses the disk and starts as a new replica; refused if that could lose what is committed, that is
-    // while another lost disk is still a voter.
+    // Loses the disk of a replica and restarts it with an empty one. Returns false and does nothing if that could lose
+    // committed entries, that is unless the cluster has converged with all members on their current disks.
     bool wipe(int number);
     void freeze(int number);
     void thaw(int number);
-    // Cuts the links between the replicas in the set (bit n - 1 for replica n) and the others.
+    // Partitions the replicas in the set (bit n - 1 for replica n) from the others.
     void partition(unsigned set);
     void heal();
 
-    // Proposes a bundle on a base version at a replica; the change can be sent again.
+    // Makes a signed change that proposes a bundle on a base version. It can be submitted several times.
     SignedChange makeProposal(std::uint64_t base, const std::string &operatorName);
     void submit(int number, const SignedChange &change);
 
-    // The final answers to a change so far, each once.
+    // The final answers to a change so far, one for each submission that was answered.
     std::vector<ChangeResult> answersTo(const ChangeId &change) const;
 
-    int leader() const; // Number of a replica that leads in the highest term; 0 if there is none.
+    int leader() const; // Number of the leader with the highest term; 0 if there is none.
     ControlCore &core(int number);
     bool up(int number) const;
-    bool converged() const; // All are up, members, as many of them voters as are wanted, and have applied the same.
-    std::size_t voterCount() const; // As the leader sees it; 0 without one.
+    bool converged() const; // All replicas are up, are members and have committed the leader's log, and the desired number of them are voters.
+    std::size_t voterCount() const; // In the leader's configuration; 0 without a leader.
     bool isVoter(int number) const;
 
-    // What went wrong first; empty as long as all invariants hold.
+    // First violation of an invariant; empty if there was none.
     const std::string &violation() const;
 
-    // The highest version that was acknowledged to anyone.
+    // The highest version that was acknowledged to any submitter.
     std::uint64_t acknowledgedVersion() const;
     const KeyPair &keyOf(const std::string &operatorName) const;
 
@@ -82,10 +83,10 @@
         bool frozen = false;
         bool failSync = false;
         double clockRate = 1;
-        std::uint64_t run = 0;
+        std::uint64_t run = 0; // Number of the current start; timers of earlier runs are ignored.
         std::vector<std::function<void()>> deferredActions;
         std::map<std::uint64_t, ChangeId> tickets;
-        std::map<ReplicaKey, TimePoint> dialled; // When each one that it knows was dialled.
+        std::map<ReplicaKey, TimePoint> dialled; // When it dialled each replica that it knows.
     };
     struct Event {
         TimePoint at;
--- a/tests/test_replica.cpp
+++ b/tests/test_replica.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica: the folder of a routing replica and the driver between its core and its disk.
+// Tests of the data folder of a routing replica and of the replica driver.
 #include "replica_driver.h"
 #include "replica_folder.h"
 #include "routing_state.h"
@@ -32,9 +32,9 @@
     return file;
 }
 
-// Opens the folder of a replica, and uses it; whether both worked.
+// Opens the data folder of a replica and passes the storage to `use`; whether it could be opened.
 template<typename Use>
-bool withFolder(const SteeringFile &file, ReplicaId self, Use use)
+bool withStorage(const SteeringFile &file, ReplicaId self, Use use)
 {
     return leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
@@ -54,36 +54,36 @@
 
 } // namespace
 
-TEST_CASE("seeds begin one cluster at the first start, other replicas none")
+TEST_CASE("at the first start all seeds bootstrap the same cluster, and other replicas none")
 {
     std::uint64_t cluster = 0;
     for (const std::uint32_t seed : {1U, 2U, 3U}) {
         const TemporaryFolder folder;
-        CHECK(withFolder(settingsFor(folder.path(), true), ReplicaId{seed}, [&cluster, seed](const RaftStorage &storage) {
+        CHECK(withStorage(settingsFor(folder.path(), true), ReplicaId{seed}, [&cluster, seed](const RaftStorage &storage) {
             CHECK(storage.identity().cluster != 0);
             CHECK((seed == 1 || storage.identity().cluster == cluster));
             cluster = storage.identity().cluster;
         }));
     }
     const TemporaryFolder other;
-    CHECK(withFolder(settingsFor(other.path(), true), ReplicaId{4}, [](const RaftStorage &storage) {
+    CHECK(withStorage(settingsFor(other.path(), true), ReplicaId{4}, [](const RaftStorage &storage) {
         CHECK(storage.identity().cluster == 0);
     }));
 }
 
-TEST_CASE("a seed that comes back with an empty disk is a new voter without a cluster")
+TEST_CASE("a seed that restarts with an empty disk gets a new disk number and belongs to no cluster")
 {
     const TemporaryFolder folder;
-    CHECK(withFolder(settingsFor(folder.path(), false), ReplicaId{1}, [](const RaftStorage &storage) {
+    CHECK(withStorage(settingsFor(folder.path(), false), ReplicaId{1}, [](const RaftStorage &storage) {
         CHECK(storage.identity().cluster == 0);
         CHECK(storage.identity().disk > 1);
     }));
 }
 
-TEST_CASE("a driver takes messages of its cluster for its disk, and joins the first cluster that speaks to it")
+TEST_CASE("a driver admits only messages for its disk and its cluster, and joins the first cluster that sends it one")
 {
     const TemporaryFolder folder;
-    CHECK(withFolder(settingsFor(folder.path(), false), ReplicaId{4}, [](RaftStorage storage) {
+    CHECK(withStorage(settingsFor(folder.path(), false), ReplicaId{4}, [](RaftStorage storage) {
         ReplicaDriver<RoutingState> driver(std::move(storage), Start, Seed);
         CHECK(driver.admit(envelopeTo({ReplicaId{4}, 99}, 5)) == Admission::Rejected);
         CHECK(driver.admit(envelopeTo(driver.self(), 5)) == Admission::Admitted);
@@ -92,11 +92,11 @@
     }));
 }
 
-TEST_CASE("a driver whose disk refuses says so, and does not send what it could not write")
+TEST_CASE("a driver reports a failed write and sends no message that depends on it")
 {
     const TemporaryFolder folder;
     const SteeringFile file = settingsFor(folder.path() / "data", true);
-    CHECK(withFolder(file, ReplicaId{1}, [&file](RaftStorage storage) {
+    CHECK(withStorage(file, ReplicaId{1}, [&file](RaftStorage storage) {
         ReplicaDriver<RoutingState> driver(std::move(storage), Start, Seed);
         std::size_t sent = 0;
         const auto send = [&sent](const RaftSend &) {
@@ -105,7 +105,7 @@
         CHECK(driver.processOutput(send));
         const std::uint64_t written = fs::file_size(file.dataFolder / "log");
         const FullDisk full(written);
-        // The election that is due can't be written, so nobody may be asked for a vote.
+        // The vote of the candidate for itself can't be persisted, so no vote may be requested.
         driver.core().tick(Start + std::chrono::seconds(5));
         driver.core().handle(Start + std::chrono::seconds(5), {ReplicaId{2}, 1}, VoteReply{Term{2}, true, true});
         sent = 0;
@@ -114,7 +114,7 @@
     }));
 }
 
-TEST_CASE("recovery notes of another disk, and those that can't be read, are as none")
+TEST_CASE("recovery notes that belong to another disk or can't be read are ignored")
 {
     const TemporaryFolder folder;
     const fs::path path = folder.path() / "notes";
@@ -126,7 +126,8 @@
     CHECK(value(readRecoveryNotes(folder.path(), 9).committed) == 0);
 }
 
-struct NotesWithoutPlaces {
+// Format of the recovery notes before the data centres of the replicas were added.
+struct PreviousRecoveryNotes {
     std::uint64_t disk = 0;
     LogIndex committed{};
     std::vector<TargetStatus> targets;
@@ -137,19 +138,19 @@
     }
 };
 
-TEST_CASE("recovery notes tell where replicas are, and those of the release before are read")
+TEST_CASE("recovery notes contain the data centres of replicas, and the previous format can still be read")
 {
     const ReplicaPlace place{ReplicaId{4}, DataCentreId{2}};
     const std::optional<RecoveryNotes> notes = decodeNotes(encodeNotes({9, LogIndex{12}, {}, {place}}));
     REQUIRE(notes);
     CHECK(notes->replicas == std::vector{place});
-    const std::optional<RecoveryNotes> older = decodeNotes(encodeMessage(std::variant<NotesWithoutPlaces>(NotesWithoutPlaces{9, LogIndex{12}, {}})));
+    const std::optional<RecoveryNotes> older = decodeNotes(encodeMessage(std::variant<PreviousRecoveryNotes>(PreviousRecoveryNotes{9, LogIndex{12}, {}})));
     REQUIRE(older);
     CHECK(older->committed == LogIndex{12});
     CHECK(older->replicas.empty());
 }
 
-TEST_CASE("a file that can't be replaced in the background is counted")
+TEST_CASE("the asynchronous file writer counts failed writes")
 {
     const TemporaryFolder folder;
     AsyncFileWriter file(folder.path() / "missing" / "notes");
--- a/tests/test_replica_node.cpp
+++ b/tests/test_replica_node.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: MIT
-// Replica node: whole replicas with disks and links, over loopback.
+// Tests of complete replica nodes with storage and links over loopback.
 //
-// A replica that lost its disk joined, and stood empty for 20 s although it heard its leader all the while. It knows the
-// seeds alone until it has a log, so it dialled those, and the leader, which was no seed, dialled it. The leader's first
-// append, which names the members, was lost, as it was sent before that link was up. The replica refused each later one, but
-// sent its refusals only on links that it had dialled itself, and it had none to the leader; they were dropped without a
-// line. The leader took the silence for a dead learner and dropped it after LearnerRemovalTimeout. The log lines that showed it:
-// the leader's members-changed with the learner at 8.911 s, a single replica-link-up between the two, joined-cluster and
-// leader-changed commit=0 at the learner at 9.040 s, then no members-changed and no routing-in-force until the leader
-// dropped it at 28.910 s. Balancers that followed it served a dropped route 5.2 s after the change.
+// They guard against a replica with an empty disk that joins but receives no log for LearnerRemovalTimeout (20 s),
+// although it hears its leader. Until it has a log it knows and dials only the seeds, so the link to a leader that is not a
+// seed is dialled by the leader. The first append, which contains the members, is lost if it is sent before that link is up;
+// if the replica then sends its rejections of later appends only on links that it dialled itself, they are dropped, and the
+// leader removes it as unresponsive. Meanwhile balancers that follow the replica use outdated routing: a dropped route was
+// still served 5.2 s after the change. In the logs: members-changed with the learner at the leader, a single replica-link-up
+// between the two, joined-cluster and leader-changed commit=0 at the learner, then no members-changed and no
+// routing-in-force until the leader removes the learner.
 #include "replica_node.h"
 #include "test_disk.h"
 
@@ -25,9 +25,10 @@
 namespace {
 
 constexpr std::uint32_t FirstAddress = 0x7f060001; // 127.6.0.1
-constexpr std::uint16_t AdminPort = 70; // Names the seeds; nobody listens there.
+constexpr std::uint16_t AdminPort = 70; // Part of the seed addresses; no server listens there.
 
-// The wait in real time for what is due at once; half of the time after which a leader that hears nothing drops a learner.
+// Real-time limit for events that should happen at once. Half of LearnerRemovalTimeout, so that a learner that was removed and
+// joined again does not pass the test.
 constexpr Duration MaxWait = LearnerRemovalTimeout / 2;
 
 // A loopback port that is free at all of the addresses.
@@ -81,13 +82,13 @@
         return process.node;
     }
 
-    // From now on a replica does nothing, and its connections stay open.
+    // Stops running the event loop of a replica; its connections stay open.
     void freeze(std::size_t number)
     {
         m_processes[number]->frozen = true;
     }
 
-    // Runs the event loop until the condition holds, at most for MaxWait; whether it does.
+    // Runs the event loops until the condition holds or MaxWait has passed; whether it holds.
     template<typename Condition>
     bool waitFor(Condition condition)
     {
@@ -96,7 +97,7 @@
             if (monotonicNow() >= end) {
                 return false;
             }
-            pass();
+            runOnce();
         }
         return true;
     }
@@ -113,9 +114,9 @@
         bool frozen = false;
     };
 
-    void pass()
+    void runOnce()
     {
-        constexpr std::chrono::milliseconds Rest{1};
+        constexpr std::chrono::milliseconds MaxIdle{1};
         std::size_t events = 0;
         for (const auto &process : m_processes) {
             events += process->frozen ? 0 : process->io.poll_one();
@@ -124,7 +125,7 @@
             return !process->frozen;
         });
         if (events == 0 && live != m_processes.end()) {
-            (*live)->io.run_one_for(Rest);
+            (*live)->io.run_one_for(MaxIdle);
         }
     }
 
@@ -149,7 +150,7 @@
 constexpr std::size_t Voters = 3;
 constexpr std::uint64_t Version = 7;
 
-// Three voters that hold a document, and a replica with an empty disk that is told of all seeds but the leader.
+// Three voters with a committed document, and a replica with an empty disk whose seeds are all voters except the leader.
 struct JoiningReplica {
     JoiningReplica()
     {
@@ -175,28 +176,28 @@
         joiner = &replicas.start(Voters, seeds, false);
     }
 
-    // Each read makes the leader speak to all members at once, so its first append goes before its link to the joiner is up.
-    void keepReading()
+    // Each read makes the leader send appends at once, so that its first append to the joiner precedes its link to it.
+    void keepReadPending()
     {
-        if (!std::exchange(reading, true)) {
+        if (!std::exchange(readPending, true)) {
             voters[leader]->read([this](CallOutcome) {
-                reading = false;
+                readPending = false;
             });
         }
     }
 
-    bool takenIn() const
+    bool joinerIsMember() const
     {
         const std::string line = "robinrail_member_match{replica=\"" + addressText(Replicas::addressOf(Voters)) + "\"}";
         return voters[leader]->metricsText().find(line) != std::string::npos;
     }
 
-    bool informed() const
+    bool joinerHasDocument() const
     {
         return joiner->document().table.version == Version;
     }
 
-    bool reading = false;
+    bool readPending = false;
     std::vector<ReplicaNode *> voters;
     std::size_t leader = 0;
     ReplicaNode *joiner = nullptr;
@@ -205,24 +206,24 @@
 
 } // namespace
 
-TEST_CASE("a replica with an empty disk learns from a leader that is no seed, although the leader's first append is lost")
+TEST_CASE("a replica with an empty disk learns the document from a leader that is not a seed, although the leader's first append is lost")
 {
     JoiningReplica cluster;
     CHECK(cluster.replicas.waitFor([&cluster] {
-        cluster.keepReading();
-        return cluster.informed();
+        cluster.keepReadPending();
+        return cluster.joinerHasDocument();
     }));
 }
 
-TEST_CASE("a replica with an empty disk learns from the next leader when the one that took it in freezes")
+TEST_CASE("a replica with an empty disk learns the document from the next leader when the leader that added it freezes")
 {
     JoiningReplica cluster;
     REQUIRE(cluster.replicas.waitFor([&cluster] {
-        cluster.keepReading();
-        return cluster.takenIn();
+        cluster.keepReadPending();
+        return cluster.joinerIsMember();
     }));
     cluster.replicas.freeze(cluster.leader);
     CHECK(cluster.replicas.waitFor([&cluster] {
-        return cluster.informed();
+        return cluster.joinerHasDocument();
     }));
 }
