--- a/src/routing_state.h
+++ b/src/routing_state.h
@@ -30,7 +30,7 @@
 // Result of a change, with the version of the document in force after it.
 struct RoutingResult {
     VersionVerdict verdict = VersionVerdict::Superseded;
-    std::uint64_t held = 0;
+    std::uint64_t currentVersion = 0;
 };
 
 namespace detail {
@@ -114,8 +114,8 @@
 private:
     RoutingResult applyDocument(RoutingDocument document)
     {
-        const std::uint64_t held = m_document.table.version;
-        const VersionVerdict verdict = Order::evaluate(held, held, document.table.version);
+        const std::uint64_t currentVersion = m_document.table.version;
+        const VersionVerdict verdict = Order::evaluate(currentVersion, currentVersion, document.table.version);
         if (verdict == VersionVerdict::Apply) {
             m_document = std::move(document);
         }
--- a/src/version_order.h
+++ b/src/version_order.h
@@ -25,18 +25,18 @@
 
 // Optimistic concurrency: each change names the version that it replaces, and the second of two concurrent changes is rejected.
 struct CompareAndSet {
-    static VersionVerdict evaluate(std::uint64_t held, std::uint64_t base, std::uint64_t /*proposed*/)
+    static VersionVerdict evaluate(std::uint64_t currentVersion, std::uint64_t base, std::uint64_t /*proposed*/)
     {
-        return base == held ? VersionVerdict::Apply : VersionVerdict::Conflict;
+        return base == currentVersion ? VersionVerdict::Apply : VersionVerdict::Conflict;
     }
 };
 
 // The highest version wins, whatever its base. Resending is idempotent: a version that is not above the
 // current one changes nothing.
 struct HighestVersion {
-    static VersionVerdict evaluate(std::uint64_t held, std::uint64_t /*base*/, std::uint64_t proposed)
+    static VersionVerdict evaluate(std::uint64_t currentVersion, std::uint64_t /*base*/, std::uint64_t proposed)
     {
-        return proposed > held ? VersionVerdict::Apply : VersionVerdict::Superseded;
+        return proposed > currentVersion ? VersionVerdict::Apply : VersionVerdict::Superseded;
     }
 };
 
--- a/tests/test_targets.cpp
+++ b/tests/test_targets.cpp
@@ -325,7 +325,7 @@
     RoutingDocument document{"second", tableOf(9)};
     CHECK(state.applyCommand(RoutingState::encodeChange(document)).verdict == VersionVerdict::Apply);
     document = {"older", tableOf(4)};
-    CHECK(state.applyCommand(RoutingState::encodeChange(document)).held == 9);
+    CHECK(state.applyCommand(RoutingState::encodeChange(document)).currentVersion == 9);
     CHECK(state.document().text == "second");
     RoutingState restored;
     CHECK(restored.restore(state.serialize()));
