--- a/src/replica_driver.h
+++ b/src/replica_driver.h
@@ -37,7 +37,7 @@
     // Starts from the recovered state of the storage. Entries up to `committed` are known to be committed.
     ReplicaDriver(RaftStorage storage, TimePoint now, std::uint32_t seed, const RaftPolicy &policy = {}, LogIndex committed = {})
         : m_storage(std::move(storage))
-        , m_core(selfOf(m_storage), durableOf(m_storage, committed), now, seed, policy)
+        , m_core(selfOf(m_storage), recoveredState(m_storage, committed), now, seed, policy)
     {
     }
 
@@ -97,7 +97,7 @@
         return {storage.identity().replica, storage.identity().disk};
     }
 
-    static PersistentRaftState durableOf(RaftStorage &storage, LogIndex committed)
+    static PersistentRaftState recoveredState(RaftStorage &storage, LogIndex committed)
     {
         PersistentRaftState durable = storage.takePersistentState();
         durable.committed = committed;
--- a/src/replica_folder.cpp
+++ b/src/replica_folder.cpp
@@ -22,7 +22,7 @@
 // numbers are random and higher.
 constexpr std::uint64_t BootstrapDisk = 1;
 
-std::uint64_t randomDisk()
+std::uint64_t randomDiskNumber()
 {
     std::random_device device;
     const std::uint64_t drawn = (std::uint64_t{device()} << 32U) | device();
@@ -30,7 +30,7 @@
 }
 
 // Cluster id, derived from the list of seeds so that all of them compute the same one.
-std::uint64_t clusterOf(std::span<const ReplicaKey> voters)
+std::uint64_t clusterIdOf(std::span<const ReplicaKey> voters)
 {
     std::uint64_t hash = voters.size();
     for (const ReplicaKey &voter : voters) {
@@ -56,7 +56,7 @@
     first.hard = beginning.hard;
     first.entries = beginning.log;
     BOOST_LEAF_CHECK(storage.persist(first));
-    BOOST_LEAF_CHECK(storage.setCluster(clusterOf(voters)));
+    BOOST_LEAF_CHECK(storage.setCluster(clusterIdOf(voters)));
     return RaftStorage::open(file.dataFolder, self, BootstrapDisk);
 }
 
@@ -64,7 +64,7 @@
 
 leaf::result<RaftStorage> openReplicaStorage(const SteeringFile &file, ReplicaId self)
 {
-    const std::uint64_t disk = file.firstStart ? BootstrapDisk : randomDisk();
+    const std::uint64_t disk = file.firstStart ? BootstrapDisk : randomDiskNumber();
     BOOST_LEAF_AUTO(storage, RaftStorage::open(file.dataFolder, self, disk));
     if (file.firstStart) {
         return bootstrapCluster(std::move(storage), file, self);
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -164,7 +164,7 @@
     m_targets.reconcile(now);
     m_targets.publish(now);
     m_targets.expireDrains(now);
-    m_timer.expires_after(ReplicaTick);
+    m_timer.expires_after(ReplicaTickInterval);
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             tick();
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -22,7 +22,7 @@
 namespace Robinrail {
 
 // Interval of the replica's timer, a third of RaftHeartbeat.
-inline constexpr std::chrono::milliseconds ReplicaTick{25};
+inline constexpr std::chrono::milliseconds ReplicaTickInterval{25};
 
 // Interval between the join requests of a replica that no leader contacts.
 inline constexpr Duration JoinRetryInterval = std::chrono::milliseconds(400);
