--- a/src/control_daemon.cpp
+++ b/src/control_daemon.cpp
@@ -94,7 +94,7 @@
 
 void ControlDaemon::flush()
 {
-    const bool works = m_driver.round([this](const RaftSend &send) {
+    const bool works = m_driver.processOutput([this](const RaftSend &send) {
         sendRaft(send);
     });
     if (!works) {
@@ -112,13 +112,13 @@
 {
     const std::vector<LinkHandle> links = m_links.linksTo(PeerRole::Control, static_cast<std::uint16_t>(value(send.to.id)));
     const bool reached = !links.empty();
-    if (m_reach.note(send.to.id, reached)) {
+    if (m_reach.recordSend(send.to.id, reached)) {
         LogLine(reached ? LogLevel::Info : LogLevel::Warning, reached ? "replica-reached" : "replica-unreached").with("replica", value(send.to.id));
     }
     if (!reached) {
         return;
     }
-    const RaftEnvelope envelope = m_driver.envelopeOf(send);
+    const RaftEnvelope envelope = m_driver.makeEnvelope(send);
     for (const LinkHandle link : links) {
         m_links.send(link, envelope);
     }
@@ -167,7 +167,7 @@
     }
     if (!std::holds_alternative<JoinRequest>(*message)) {
         const Admission admission = m_driver.admit(envelope);
-        if (admission == Admission::DiskRefused) {
+        if (admission == Admission::StorageFailed) {
             m_io.stop();
         }
         if (admission != Admission::Admitted) {
--- a/src/raft_core.cpp
+++ b/src/raft_core.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Raft core: construction, what comes in, reads, and small questions.
+// Raft core: construction, message dispatch, linearizable reads and accessors.
 #include "raft_core.h"
 
 #include "codec.h"
@@ -11,7 +11,7 @@
 
 namespace Robinrail {
 
-RaftCore::RaftCore(ReplicaKey self, RaftDurable durable, TimePoint now, std::uint32_t seed, RaftPolicy policy)
+RaftCore::RaftCore(ReplicaKey self, PersistentRaftState durable, TimePoint now, std::uint32_t seed, RaftPolicy policy)
     : m_self(self)
     , m_policy(policy)
     , m_random(seed)
@@ -28,26 +28,26 @@
         adoptConfig(entry);
     }
     m_role = m_configs.empty() ? RaftRole::Joining : RaftRole::Follower;
-    m_leaderHeard = now - ElectionTimeout;
-    m_caughtUp = now - ElectionTimeout * 2;
-    m_ticked = now;
+    m_leaderLastHeard = now - ElectionTimeout;
+    m_lastCaughtUp = now - ElectionTimeout * 2;
+    m_lastTick = now;
     boost::random::uniform_int_distribution<std::int64_t> spread(FirstElectionTimeout.count() / 3, FirstElectionTimeout.count());
-    m_electionDue = now + Duration(spread(m_random));
+    m_electionDeadline = now + Duration(spread(m_random));
     commitTo(std::min(durable.committed, lastIndex()));
 }
 
-RaftDurable RaftCore::bootstrap(ReplicaKey self, Bytes firstCommand)
+PersistentRaftState RaftCore::bootstrap(ReplicaKey self, Bytes firstCommand)
 {
     return bootstrap(std::span(&self, 1), std::move(firstCommand));
 }
 
-RaftDurable RaftCore::bootstrap(std::span<const ReplicaKey> voters, Bytes firstCommand)
+PersistentRaftState RaftCore::bootstrap(std::span<const ReplicaKey> voters, Bytes firstCommand)
 {
     ClusterConfig config;
     for (const ReplicaKey &voter : voters) {
         config.members.push_back({voter, true});
     }
-    RaftDurable durable;
+    PersistentRaftState durable;
     durable.hard.term = Term{1};
     durable.log.push_back({Term{1}, LogIndex{1}, EntryKind::Config, encodeClusterConfig(config)});
     if (!firstCommand.empty()) {
@@ -90,7 +90,7 @@
     if (m_role != RaftRole::Leader) {
         return;
     }
-    // A request from before the replica lost its disk must not be taken up any more.
+    // A pending request from before the replica lost its disk is obsolete and must not be granted.
     std::erase_if(m_joiners, [&request](const auto &joiner) {
         return joiner.first.id == request.joiner.id;
     });
@@ -119,7 +119,7 @@
             const bool acked = member.key == m_self || (at != m_progress.end() && at->second.ackedRound >= read.round);
             confirmed += member.voter && acked ? 1 : 0;
         }
-        if (!quorum(confirmed)) {
+        if (!isQuorum(confirmed)) {
             return false;
         }
         m_output.reads.push_back({read.ticket, read.index});
@@ -127,7 +127,7 @@
     });
 }
 
-// ---- Small questions ----
+// ---- Accessors ----
 
 RaftOutput RaftCore::takeOutput()
 {
@@ -214,12 +214,12 @@
 
 bool RaftCore::inContact(TimePoint now) const
 {
-    return m_role == RaftRole::Leader ? heardFromQuorum(now) : now - m_leaderHeard < ElectionTimeout * 2;
+    return m_role == RaftRole::Leader ? heardFromQuorum(now) : now - m_leaderLastHeard < ElectionTimeout * 2;
 }
 
 bool RaftCore::caughtUp(TimePoint now) const
 {
-    return m_role == RaftRole::Leader ? heardFromQuorum(now) : now - m_caughtUp < ElectionTimeout * 2;
+    return m_role == RaftRole::Leader ? heardFromQuorum(now) : now - m_lastCaughtUp < ElectionTimeout * 2;
 }
 
 const LogEntry *RaftCore::entryAt(LogIndex index) const
@@ -240,7 +240,7 @@
     }));
 }
 
-bool RaftCore::quorum(std::size_t count) const
+bool RaftCore::isQuorum(std::size_t count) const
 {
     return count > voterCount() / 2;
 }
@@ -253,7 +253,7 @@
         const bool recent = member.key == m_self || (at != m_progress.end() && now - at->second.lastHeard < ElectionTimeout * 2);
         heard += member.voter && recent ? 1 : 0;
     }
-    return quorum(heard);
+    return isQuorum(heard);
 }
 
 Term RaftCore::termAt(LogIndex index) const
--- a/src/raft_members.cpp
+++ b/src/raft_members.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Raft core, members: who joins, who votes and who leaves, one change at a time (Ongaro 2014, section 4).
+// Raft core, membership: joining, promotion, demotion and removal, one change at a time (Ongaro 2014, section 4).
 #include "raft_core.h"
 
 #include "codec.h"
@@ -11,8 +11,8 @@
 
 namespace {
 
-// A joiner that did not ask for this long is not taken in.
-constexpr Duration JoinMemory = std::chrono::seconds(3);
+// A join request that was not repeated for this long is dropped.
+constexpr Duration JoinRequestLifetime = std::chrono::seconds(3);
 
 } // namespace
 
@@ -29,25 +29,26 @@
     return config;
 }
 
-// Takes joiners in, one step at a time: first as learners; when one has caught up, the voter that its
-// replica was on its lost disk is removed; then it becomes a voter. So a repaired replica counts only
-// with a full log, and the loss of a second one after that loses nothing. Learners count in no quorum, so one
-// step takes in all that ask: at the first start of a fleet that is every replica but the seeds.
-void RaftCore::maintainMembers(TimePoint now)
+// Adds joining replicas step by step: they become learners; once one has caught up, the voter that the same
+// replica was with its lost disk is removed; then the learner is promoted. A repaired replica thus counts
+// only with a complete log, and losing a second replica afterwards loses no committed entry. Learners count
+// in no quorum, so all joining replicas are added in one change; at the first start of a fleet these are all
+// replicas except the seeds.
+void RaftCore::updateMembership(TimePoint now)
 {
     if (configPending() || termAt(m_commit) != m_hard.term) {
         return;
     }
     std::erase_if(m_joiners, [now](const auto &joiner) {
-        return now - joiner.second >= JoinMemory;
+        return now - joiner.second >= JoinRequestLifetime;
     });
     ClusterConfig changed = config();
-    if (takeInJoiners(now, changed) || retireVoter(now, changed) || replaceOrAddVoter(now, changed) || dropLearner(now, changed)) {
+    if (addJoiningLearners(now, changed) || demoteVoter(now, changed) || replaceOrAddVoter(now, changed) || removeLearner(now, changed)) {
         proposeConfig(now, changed);
     }
 }
 
-bool RaftCore::takeInJoiners(TimePoint now, ClusterConfig &config) const
+bool RaftCore::addJoiningLearners(TimePoint now, ClusterConfig &config) const
 {
     bool any = false;
     for (const auto &[joiner, asked] : m_joiners) {
@@ -62,14 +63,14 @@
     return any;
 }
 
-// A replica's vote on a lost disk is gone for good, so that voter leaves before its successor votes. A voter
-// that is only silent may return, so there the spare votes first: while four vote, the silent one's return
-// still makes a majority if a third voter is lost at that very moment.
+// The vote of a lost disk is gone for good, so that voter is removed before its successor is promoted. A voter
+// that timed out may return, so there a spare is promoted before the voter is demoted: with four voters, the
+// return of the one that timed out still gives a majority if another voter is lost at that moment.
 bool RaftCore::replaceOrAddVoter(TimePoint now, ClusterConfig &config) const
 {
     ReplicaMember *spare = nullptr;
     for (ReplicaMember &member : config.members) {
-        if (!readyToVote(now, member)) {
+        if (!readyForPromotion(now, member)) {
             continue;
         }
         const auto old = std::find_if(config.members.begin(), config.members.end(), [&member](const ReplicaMember &other) {
@@ -79,29 +80,29 @@
             config.members.erase(old);
             return true;
         }
-        if (spare == nullptr || votersBeside(member) < votersBeside(*spare)) {
+        if (spare == nullptr || otherVotersInDataCentre(member) < otherVotersInDataCentre(*spare)) {
             spare = &member;
         }
     }
     const bool voterLost = std::any_of(config.members.begin(), config.members.end(), [&](const ReplicaMember &member) {
-        return member.voter && silent(now, member);
+        return member.voter && voterTimedOut(now, member);
     });
-    if (spare == nullptr || (voterCount() >= m_policy.wantedVoters && !voterLost)) {
+    if (spare == nullptr || (voterCount() >= m_policy.desiredVoters && !voterLost)) {
         return false;
     }
     spare->voter = true;
     return true;
 }
 
-// Of more voters than are wanted, one that is silent becomes a learner, else one of the most crowded data centre.
-bool RaftCore::retireVoter(TimePoint now, ClusterConfig &config) const
+// Demotes a surplus voter to learner: one that timed out if there is one, else one from the data centre with the most voters.
+bool RaftCore::demoteVoter(TimePoint now, ClusterConfig &config) const
 {
-    if (voterCount() <= m_policy.wantedVoters) {
+    if (voterCount() <= m_policy.desiredVoters) {
         return false;
     }
     ReplicaMember *retired = nullptr;
     const auto rank = [&](const ReplicaMember &member) {
-        return std::pair(silent(now, member), votersBeside(member));
+        return std::pair(voterTimedOut(now, member), otherVotersInDataCentre(member));
     };
     for (ReplicaMember &member : config.members) {
         const bool eligible = member.voter && member.key != m_self;
@@ -113,8 +114,8 @@
     return true;
 }
 
-// A learner leaves when it was silent for long, or soon when its replica has another disk by now.
-bool RaftCore::dropLearner(TimePoint now, ClusterConfig &config) const
+// Removes a learner that was not heard from for LearnerRemovalTimeout, or earlier if its replica has come back with another disk.
+bool RaftCore::removeLearner(TimePoint now, ClusterConfig &config) const
 {
     const auto lost = std::find_if(config.members.begin(), config.members.end(), [&](const ReplicaMember &member) {
         const auto progress = m_progress.find(member.key);
@@ -125,8 +126,8 @@
         const bool superseded = std::any_of(config.members.begin(), config.members.end(), [&member](const ReplicaMember &other) {
             return other.key.id == member.key.id && other.key != member.key;
         });
-        const bool keepsItself = m_policy.lostAfter > Duration{0};
-        return (superseded && silence >= JoinMemory) || (keepsItself && silence >= DropLearnerAfter);
+        const bool keepsItself = m_policy.voterTimeout > Duration{0};
+        return (superseded && silence >= JoinRequestLifetime) || (keepsItself && silence >= LearnerRemovalTimeout);
     });
     if (lost == config.members.end()) {
         return false;
@@ -135,24 +136,24 @@
     return true;
 }
 
-bool RaftCore::readyToVote(TimePoint now, const ReplicaMember &member) const
+bool RaftCore::readyForPromotion(TimePoint now, const ReplicaMember &member) const
 {
     const auto progress = m_progress.find(member.key);
     if (member.voter || progress == m_progress.end()) {
         return false;
     }
-    const bool caughtUp = value(progress->second.match) + PromotionLag >= value(lastIndex()) && progress->second.match > LogIndex{0};
+    const bool caughtUp = value(progress->second.match) + MaxPromotionLag >= value(lastIndex()) && progress->second.match > LogIndex{0};
     return caughtUp && now - progress->second.lastHeard < ElectionTimeout;
 }
 
-bool RaftCore::silent(TimePoint now, const ReplicaMember &member) const
+bool RaftCore::voterTimedOut(TimePoint now, const ReplicaMember &member) const
 {
     const auto progress = m_progress.find(member.key);
-    return m_policy.lostAfter > Duration{0} && progress != m_progress.end() && now - progress->second.lastHeard >= m_policy.lostAfter;
+    return m_policy.voterTimeout > Duration{0} && progress != m_progress.end() && now - progress->second.lastHeard >= m_policy.voterTimeout;
 }
 
-// Voters in the data centre of a member, itself left out.
-std::size_t RaftCore::votersBeside(const ReplicaMember &member) const
+// Number of other voters in the data centre of a member.
+std::size_t RaftCore::otherVotersInDataCentre(const ReplicaMember &member) const
 {
     const auto place = [this](const ReplicaMember &each) {
         const auto at = m_dataCentres.find(each.key.id);
--- a/src/raft_replication.cpp
+++ b/src/raft_replication.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Raft core, replication: the log, its entries on their way, commitment and snapshots (Ongaro 2014, sections 3.5 to 3.7 and 5).
+// Raft core, replication: log, append requests, commit index and snapshots (Ongaro 2014, sections 3.5 to 3.7 and 5).
 #include "raft_core.h"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A snapshot that was not confirmed is sent again after this time.
-constexpr Duration SnapshotRetry = std::chrono::seconds(1);
+// An unacknowledged snapshot is sent again after this time.
+constexpr Duration SnapshotRetryInterval = std::chrono::seconds(1);
 
 } // namespace
 
@@ -20,13 +20,13 @@
         return send(from, AppendReply{m_hard.term, false, LogIndex{0}, request.round});
     }
     becomeFollower(now, request.term, from);
-    m_leaderHeard = now;
+    m_leaderLastHeard = now;
     if (request.previousIndex > lastIndex()) {
         return send(from, AppendReply{m_hard.term, false, lastIndex(), request.round});
     }
     std::span<const LogEntry> entries = request.entries;
     LogIndex previousIndex = request.previousIndex;
-    // What the snapshot covers is committed and agrees.
+    // Entries covered by the snapshot are committed and therefore match; skip them.
     while (previousIndex < m_snapshot.index && !entries.empty()) {
         previousIndex = entries.front().index;
         entries = entries.subspan(1);
@@ -42,7 +42,7 @@
     const LogIndex agreed = request.entries.empty() ? previousIndex : std::max(previousIndex, request.entries.back().index);
     commitTo(std::min(request.commit, agreed));
     if (m_commit >= request.commit) {
-        m_caughtUp = now;
+        m_lastCaughtUp = now;
     }
     send(from, AppendReply{m_hard.term, true, agreed, request.round});
 }
@@ -109,10 +109,10 @@
         return send(from, AppendReply{m_hard.term, false, LogIndex{0}, install.round});
     }
     becomeFollower(now, install.term, from);
-    m_leaderHeard = now;
+    m_leaderLastHeard = now;
     const LogIndex covered = install.snapshot.index;
     if (covered > m_commit && covered <= lastIndex() && termAt(covered) == install.snapshot.term) {
-        // The log agrees and may hold more that was confirmed; nothing of it may be dropped.
+        // The log matches and may hold further entries that were acknowledged to the leader; these must be kept.
         commitTo(covered);
     } else if (covered > m_commit) {
         m_snapshot = install.snapshot;
@@ -162,7 +162,7 @@
 void RaftCore::broadcast(TimePoint now)
 {
     ++m_round;
-    m_heartbeatDue = now + RaftHeartbeat;
+    m_nextHeartbeat = now + RaftHeartbeat;
     for (auto &[key, progress] : m_progress) {
         sendAppend(now, key, progress);
     }
@@ -189,7 +189,7 @@
         request.entries.push_back(entry);
     }
     if (!request.entries.empty()) {
-        // Sent optimistically; a refusal or the next heartbeat's reply moves it back.
+        // Pipelining: advanced optimistically, and moved back when the follower rejects an append or heartbeat.
         progress.next = next(request.entries.back().index);
     }
     send(to, std::move(request));
@@ -197,14 +197,14 @@
 
 void RaftCore::sendSnapshot(TimePoint now, ReplicaKey to, Progress &progress)
 {
-    if (progress.snapshotSent != TimePoint{} && now - progress.snapshotSent < SnapshotRetry) {
+    if (progress.snapshotSent != TimePoint{} && now - progress.snapshotSent < SnapshotRetryInterval) {
         return;
     }
     progress.snapshotSent = now;
     send(to, InstallSnapshot{m_hard.term, m_round, m_snapshot});
 }
 
-// An entry is committed when a quorum has it, and only counted in the leader's own term (section 3.6.2).
+// Commits what max(majority, minCopies) voters hold, and only entries of the leader's own term directly (section 3.6.2).
 void RaftCore::advanceCommit()
 {
     if (m_role != RaftRole::Leader) {
@@ -222,8 +222,8 @@
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const std::size_t majority = matches.size() / 2 + 1;
-    const std::size_t copies = std::clamp(m_policy.copies, majority, matches.size());
-    const LogIndex agreed = matches[copies - 1];
+    const std::size_t minCopies = std::clamp(m_policy.minCopies, majority, matches.size());
+    const LogIndex agreed = matches[minCopies - 1];
     if (agreed > m_commit && termAt(agreed) == m_hard.term) {
         commitTo(agreed);
     }
--- a/src/raft_storage.cpp
+++ b/src/raft_storage.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Raft storage: record format, recovery and replacement of files.
+// Raft storage: record format, recovery and atomic file replacement.
 #include "raft_storage.h"
 
 #include "codec.h"
@@ -18,12 +18,12 @@
 
 namespace {
 
-// A record: magic, length of the payload, checksum over length and payload, payload.
+// Record layout: magic (4 bytes), payload length (4), checksum over length and payload (8), payload.
 constexpr std::uint32_t RecordMagic = 0x52524c31;
 
-// A batch is framed like a record and holds all that one write appends to the log, each piece behind its
-// length. A write that a power loss tore is then one damaged batch at the end, whichever parts of it
-// reached the disk; separate records would look like damage in the middle.
+// A batch is framed like a record and holds all items that one write appends to the log, each preceded by its
+// length. A write torn by a power loss is then a single invalid batch at the end of the log, whichever parts
+// of it reached the disk; separate records could look like corruption in the middle.
 constexpr std::uint32_t BatchMagic = 0x52524c32;
 constexpr std::size_t RecordHeader = 16;
 constexpr std::uint32_t MaxRecord = std::uint32_t{64} << 20U;
@@ -32,7 +32,7 @@
 constexpr const char *LogFile = "log";
 constexpr const char *SnapshotFile = "snapshot";
 
-// The log holds hard states and entries; an entry cuts whatever had its index or a higher one.
+// Item of the log file. An entry truncates all earlier ones with the same or a higher index.
 using LogRecord = std::variant<HardState, LogEntry>;
 
 template<typename Integer>
@@ -65,13 +65,13 @@
     bytes.insert(bytes.end(), payload.begin(), payload.end());
 }
 
-void appendPiece(Bytes &batch, BytesView payload)
+void appendBatchItem(Bytes &batch, BytesView payload)
 {
     storeInteger(batch, static_cast<std::uint32_t>(payload.size()));
     batch.insert(batch.end(), payload.begin(), payload.end());
 }
 
-// The payload of a sound record or batch at `at`; empty if there is none.
+// Payload of the valid record or batch at `at`, if there is one.
 std::optional<BytesView> recordAt(BytesView bytes, std::size_t at)
 {
     if (at + RecordHeader > bytes.size()) {
@@ -92,8 +92,8 @@
     return payload;
 }
 
-// Whether a sound record follows somewhere after `at`: then what is at `at` was damaged, not torn.
-bool soundRecordAfter(BytesView bytes, std::size_t at)
+// Whether a valid record starts anywhere after `at`. If so, the data at `at` is corrupt rather than a torn last write.
+bool hasValidRecordAfter(BytesView bytes, std::size_t at)
 {
     for (std::size_t probe = at + 1; probe + RecordHeader <= bytes.size(); ++probe) {
         if (recordAt(bytes, probe)) {
@@ -108,9 +108,9 @@
     return leaf::new_error(error, StorageContext{file.string(), std::move(detail)});
 }
 
-// Turns an error of the file layer into one of this layer.
+// Runs a function and maps a FileError to StorageError::Io.
 template<typename Function>
-auto asStorage(Function function) -> decltype(function())
+auto mapFileErrors(Function function) -> decltype(function())
 {
     using Result = decltype(function());
     return leaf::try_handle_some(function, [](FileError, const FileErrorContext &context) -> Result {
@@ -119,7 +119,7 @@
 }
 
 template<typename T>
-Bytes sealedFile(const T &object)
+Bytes encodeChecksummed(const T &object)
 {
     Bytes bytes;
     appendFramed(bytes, RecordMagic, encodeObject(object));
@@ -127,7 +127,7 @@
 }
 
 template<typename T>
-bool openSealedFile(const Bytes &bytes, T &object)
+bool decodeChecksummed(const Bytes &bytes, T &object)
 {
     const std::optional<BytesView> payload = recordAt(bytes, 0);
     if (!payload || RecordHeader + payload->size() != bytes.size()) {
@@ -136,12 +136,12 @@
     return decodeObject(*payload, object);
 }
 
-// Splits the payload of a record or batch into log records; empty if one of them is unreadable.
+// Decodes the items in the payload of a record or batch; nothing if one of them can't be decoded.
 std::optional<std::vector<LogRecord>> logRecords(BytesView bytes, std::size_t at, BytesView payload)
 {
     std::vector<BytesView> pieces;
-    const bool lone = loadInteger<std::uint32_t>(bytes, at) == RecordMagic; // As in logs of format 1.
-    if (lone) {
+    const bool singleRecord = loadInteger<std::uint32_t>(bytes, at) == RecordMagic; // Format 1.
+    if (singleRecord) {
         pieces.push_back(payload);
         payload = {};
     }
@@ -168,8 +168,8 @@
     return records;
 }
 
-// Takes an entry into a log, cutting what it replaces.
-void takeEntry(std::vector<LogEntry> &log, LogEntry entry)
+// Appends an entry to a log after truncating the entries that it replaces.
+void appendReplacing(std::vector<LogEntry> &log, LogEntry entry)
 {
     while (!log.empty() && log.back().index >= entry.index) {
         log.pop_back();
@@ -184,7 +184,7 @@
     , m_identity(other.m_identity)
     , m_durable(std::move(other.m_durable))
     , m_hard(other.m_hard)
-    , m_fresh(other.m_fresh)
+    , m_newlyCreated(other.m_newlyCreated)
     , m_log(std::exchange(other.m_log, -1))
     , m_logBytes(other.m_logBytes)
 {
@@ -196,7 +196,7 @@
     std::swap(m_identity, other.m_identity);
     std::swap(m_durable, other.m_durable);
     std::swap(m_hard, other.m_hard);
-    std::swap(m_fresh, other.m_fresh);
+    std::swap(m_newlyCreated, other.m_newlyCreated);
     std::swap(m_log, other.m_log);
     std::swap(m_logBytes, other.m_logBytes);
     return *this;
@@ -209,33 +209,33 @@
     }
 }
 
-leaf::result<RaftStorage> RaftStorage::open(const std::filesystem::path &folder, ReplicaId replica, std::uint64_t freshDisk)
+leaf::result<RaftStorage> RaftStorage::open(const std::filesystem::path &folder, ReplicaId replica, std::uint64_t newDisk)
 {
     RaftStorage storage;
     storage.m_folder = folder;
     std::error_code ignored;
     std::filesystem::create_directories(folder, ignored);
     const std::filesystem::path identityPath = folder / IdentityFile;
-    BOOST_LEAF_AUTO(found, asStorage([&] {
+    BOOST_LEAF_AUTO(found, mapFileErrors([&] {
                         return readFile(identityPath);
                     }));
     if (!found) {
         if (std::filesystem::exists(folder / LogFile) || std::filesystem::exists(folder / SnapshotFile)) {
-            return failure(StorageError::DamagedIdentity, identityPath, "missing beside a log or snapshot");
+            return failure(StorageError::DamagedIdentity, identityPath, "file is missing although a log or snapshot exists");
         }
-        storage.m_fresh = true;
-        storage.m_identity = {StorageFormat, 0, replica, freshDisk};
-        BOOST_LEAF_CHECK(asStorage([&] {
-            return replaceFile(identityPath, sealedFile(storage.m_identity));
+        storage.m_newlyCreated = true;
+        storage.m_identity = {StorageFormat, 0, replica, newDisk};
+        BOOST_LEAF_CHECK(mapFileErrors([&] {
+            return replaceFile(identityPath, encodeChecksummed(storage.m_identity));
         }));
-    } else if (!openSealedFile(*found, storage.m_identity)) {
-        return failure(StorageError::DamagedIdentity, identityPath, "checksum or content is wrong");
+    } else if (!decodeChecksummed(*found, storage.m_identity)) {
+        return failure(StorageError::DamagedIdentity, identityPath, "checksum mismatch or invalid content");
     }
     if (storage.m_identity.format > StorageFormat) {
-        return failure(StorageError::NewerFormat, identityPath, "format " + std::to_string(storage.m_identity.format));
+        return failure(StorageError::NewerFormat, identityPath, "unsupported newer format " + std::to_string(storage.m_identity.format));
     }
     if (storage.m_identity.replica != replica) {
-        return failure(StorageError::ForeignFolder, identityPath, "folder of replica " + std::to_string(value(storage.m_identity.replica)));
+        return failure(StorageError::ForeignFolder, identityPath, "data folder belongs to replica " + std::to_string(value(storage.m_identity.replica)));
     }
     BOOST_LEAF_CHECK(storage.load());
     return storage;
@@ -244,11 +244,11 @@
 leaf::result<void> RaftStorage::load()
 {
     const std::filesystem::path snapshotPath = m_folder / SnapshotFile;
-    BOOST_LEAF_AUTO(found, asStorage([&] {
+    BOOST_LEAF_AUTO(found, mapFileErrors([&] {
                         return readFile(snapshotPath);
                     }));
-    if (found && !openSealedFile(*found, m_durable.snapshot.emplace())) {
-        return failure(StorageError::DamagedSnapshot, snapshotPath, "checksum or content is wrong");
+    if (found && !decodeChecksummed(*found, m_durable.snapshot.emplace())) {
+        return failure(StorageError::DamagedSnapshot, snapshotPath, "checksum mismatch or invalid content");
     }
     BOOST_LEAF_CHECK(loadLog());
     return openLog();
@@ -257,7 +257,7 @@
 leaf::result<void> RaftStorage::loadLog()
 {
     const std::filesystem::path path = m_folder / LogFile;
-    BOOST_LEAF_AUTO(found, asStorage([&] {
+    BOOST_LEAF_AUTO(found, mapFileErrors([&] {
                         return readFile(path);
                     }));
     const Bytes bytes = found ? std::move(*found) : Bytes();
@@ -269,22 +269,22 @@
         }
         std::optional<std::vector<LogRecord>> records = logRecords(bytes, at, *payload);
         if (!records) {
-            return failure(StorageError::DamagedLog, path, "unreadable record at byte " + std::to_string(at));
+            return failure(StorageError::DamagedLog, path, "undecodable record at byte " + std::to_string(at));
         }
         for (LogRecord &record : *records) {
             if (const auto *hard = std::get_if<HardState>(&record)) {
                 m_durable.hard = *hard;
             } else {
-                takeEntry(m_durable.log, std::get<LogEntry>(std::move(record)));
+                appendReplacing(m_durable.log, std::get<LogEntry>(std::move(record)));
             }
         }
         at += RecordHeader + payload->size();
     }
     if (at < bytes.size()) {
-        if (soundRecordAfter(bytes, at)) {
-            return failure(StorageError::DamagedLog, path, "damaged record at byte " + std::to_string(at));
+        if (hasValidRecordAfter(bytes, at)) {
+            return failure(StorageError::DamagedLog, path, "corrupt record before the end of the log, at byte " + std::to_string(at));
         }
-        // A torn tail was never synced, hence never acknowledged.
+        // A torn write at the end was never synced, hence never acknowledged.
         std::error_code error;
         std::filesystem::resize_file(path, at, error);
         if (error) {
@@ -316,7 +316,7 @@
     if (m_log < 0) {
         return failure(StorageError::Io, path, std::strerror(errno));
     }
-    return asStorage([&] {
+    return mapFileErrors([&] {
         return syncFolder(m_folder);
     });
 }
@@ -326,24 +326,24 @@
     return m_identity;
 }
 
-RaftDurable RaftStorage::takeDurable()
+PersistentRaftState RaftStorage::takePersistentState()
 {
     return std::exchange(m_durable, {});
 }
 
-bool RaftStorage::fresh() const
+bool RaftStorage::newlyCreated() const
 {
-    return m_fresh;
+    return m_newlyCreated;
 }
 
 leaf::result<void> RaftStorage::setCluster(std::uint64_t cluster)
 {
     if (m_identity.cluster != 0 && m_identity.cluster != cluster) {
-        return failure(StorageError::ForeignFolder, m_folder / IdentityFile, "folder of another cluster");
+        return failure(StorageError::ForeignFolder, m_folder / IdentityFile, "data folder belongs to another cluster");
     }
     m_identity.cluster = cluster;
-    return asStorage([&] {
-        return replaceFile(m_folder / IdentityFile, sealedFile(m_identity));
+    return mapFileErrors([&] {
+        return replaceFile(m_folder / IdentityFile, encodeChecksummed(m_identity));
     });
 }
 
@@ -357,10 +357,10 @@
     Bytes batch;
     if (output.hard) {
         m_hard = *output.hard;
-        appendPiece(batch, encodeMessage(LogRecord(*output.hard)));
+        appendBatchItem(batch, encodeMessage(LogRecord(*output.hard)));
     }
     for (const LogEntry &entry : output.entries) {
-        appendPiece(batch, encodeMessage(LogRecord(entry)));
+        appendBatchItem(batch, encodeMessage(LogRecord(entry)));
     }
     if (batch.empty()) {
         return {};
@@ -373,17 +373,17 @@
 leaf::result<void> RaftStorage::compact(const Snapshot &snapshot, const HardState &hard, std::span<const LogEntry> rest)
 {
     m_hard = hard;
-    BOOST_LEAF_CHECK(asStorage([&] {
-        return replaceFile(m_folder / SnapshotFile, sealedFile(snapshot));
+    BOOST_LEAF_CHECK(mapFileErrors([&] {
+        return replaceFile(m_folder / SnapshotFile, encodeChecksummed(snapshot));
     }));
     Bytes batch;
-    appendPiece(batch, encodeMessage(LogRecord(hard)));
+    appendBatchItem(batch, encodeMessage(LogRecord(hard)));
     for (const LogEntry &entry : rest) {
-        appendPiece(batch, encodeMessage(LogRecord(entry)));
+        appendBatchItem(batch, encodeMessage(LogRecord(entry)));
     }
     Bytes bytes;
     appendFramed(bytes, BatchMagic, batch);
-    BOOST_LEAF_CHECK(asStorage([&] {
+    BOOST_LEAF_CHECK(mapFileErrors([&] {
         return replaceFile(m_folder / LogFile, bytes);
     }));
     m_logBytes = bytes.size();
@@ -397,7 +397,7 @@
 
 leaf::result<void> RaftStorage::append(BytesView bytes)
 {
-    BOOST_LEAF_CHECK(asStorage([&] {
+    BOOST_LEAF_CHECK(mapFileErrors([&] {
         return appendAndSync(m_log, m_folder / LogFile, bytes);
     }));
     m_logBytes += bytes.size();
--- a/src/reach_watch.h
+++ b/src/reach_watch.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Reach watch: to which replicas messages of consensus found no link. Such a message is lost, as on a network, and the
-// protocol makes up for it; but where each one is lost, a replica stands still while all its links look well.
+// Reachability tracker: records to which replicas there was no link for a Raft message. Such a message is dropped, which
+// Raft tolerates like packet loss; but if every message to a replica is dropped, that replica makes no progress although
+// its established links look healthy, so the change of state is reported.
 #pragma once
 
 #include "types.h"
@@ -10,27 +11,28 @@
 
 namespace Robinrail {
 
-class ReachWatch
+class ReachabilityTracker
 {
 public:
-    // A message to a replica found a link, or none. Whether that is news since the message before it.
-    bool note(ReplicaId replica, bool linked)
+    // Records whether there was a link for a message to a replica. True if that has changed since the previous
+    // message; a replica counts as reachable at first.
+    bool recordSend(ReplicaId replica, bool linked)
     {
         if (linked) {
-            return m_unreached.erase(replica) > 0;
+            return m_unreachable.erase(replica) > 0;
         }
         ++m_unsent;
-        return m_unreached.insert(replica).second;
+        return m_unreachable.insert(replica).second;
     }
 
-    // Messages that found no link so far.
+    // Number of messages dropped for want of a link.
     std::uint64_t unsent() const
     {
         return m_unsent;
     }
 
 private:
-    std::set<ReplicaId> m_unreached;
+    std::set<ReplicaId> m_unreachable;
     std::uint64_t m_unsent = 0;
 };
 
--- a/src/replica_calls.cpp
+++ b/src/replica_calls.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica node: what it is called for from outside, by targets and by operators.
+// Replica node: calls from targets and operators.
 #include "announcement_choice.h"
 #include "log.h"
 #include "net.h"
@@ -12,26 +12,26 @@
 void ReplicaNode::announce(const TargetRecord &record, Respond respond)
 {
     m_targets.announce(monotonicNow(), record, [respond = std::move(respond)](bool taken) {
-        respond(taken ? ReplicaAnswer::Done : ReplicaAnswer::Unavailable);
+        respond(taken ? CallOutcome::Done : CallOutcome::Unavailable);
     });
 }
 
 void ReplicaNode::leave(TargetKey key, std::uint64_t born, Respond respond)
 {
     m_targets.leave(monotonicNow(), key, born, [respond = std::move(respond)](bool taken) {
-        respond(taken ? ReplicaAnswer::Done : ReplicaAnswer::Unavailable);
+        respond(taken ? CallOutcome::Done : CallOutcome::Unavailable);
     });
 }
 
-void ReplicaNode::countRefused(std::string_view call, std::string_view reason)
+void ReplicaNode::countRefusedCall(std::string_view call, std::string_view reason)
 {
     ++m_refusedCalls;
-    if (const auto leftOut = m_refusedLog.take(monotonicNow())) {
+    if (const auto leftOut = m_refusedLogBudget.take(monotonicNow())) {
         LogLine(LogLevel::Warning, "call-refused").with("call", call).with("reason", reason).with("left-out", *leftOut);
     }
 }
 
-std::optional<Endpoint> ReplicaNode::announceAt(const TargetRecord &record) const
+std::optional<Endpoint> ReplicaNode::announcementEndpoint(const TargetRecord &record) const
 {
     const std::optional<ReplicaId> replica = announcementReplica(record, reachableReplicas());
     return replica ? std::optional(Endpoint{value(*replica), m_file.adminListen.port}) : std::nullopt;
@@ -42,20 +42,21 @@
 void ReplicaNode::submit(const RoutingDocument &routing, Respond respond)
 {
     if (!m_driver) {
-        return respond(ReplicaAnswer::Unavailable);
+        return respond(CallOutcome::Unavailable);
     }
     if (document().table.version >= routing.table.version) {
-        // What is held is committed, so this is true at any replica, however far it lags.
-        return respond(ReplicaAnswer::Done);
+        // The local document is committed, so the answer is right at any replica, even one that lags.
+        return respond(CallOutcome::Done);
     }
     propose(routing, std::move(respond));
 }
 
-// Other than a version, an order that was in force may have been withdrawn since: only its own commit answers it.
+// Unlike versions, drain orders can be reverted: the order may have been reverted on other replicas even if its effect
+// is seen here, so it is answered only when its own log entry is committed.
 void ReplicaNode::submit(const DataCentreDrainOrder &order, Respond respond)
 {
     if (!m_driver) {
-        return respond(ReplicaAnswer::Unavailable);
+        return respond(CallOutcome::Unavailable);
     }
     propose(order, std::move(respond));
 }
@@ -63,8 +64,8 @@
 void ReplicaNode::propose(const RoutingChange &change, Respond respond)
 {
     ++m_changes;
-    m_open[++m_lastTicket] = [this, began = monotonicNow(), respond = std::move(respond)](ReplicaAnswer answer) {
-        if (answer == ReplicaAnswer::Done) {
+    m_pendingCalls[++m_lastTicket] = [this, began = monotonicNow(), respond = std::move(respond)](CallOutcome answer) {
+        if (answer == CallOutcome::Done) {
             m_commitTimes.record(monotonicNow() - began);
         }
         respond(answer);
@@ -76,9 +77,9 @@
 void ReplicaNode::read(Respond respond)
 {
     if (!m_driver) {
-        return respond(ReplicaAnswer::Unavailable);
+        return respond(CallOutcome::Unavailable);
     }
-    m_open[++m_lastTicket] = std::move(respond);
+    m_pendingCalls[++m_lastTicket] = std::move(respond);
     m_driver->core().read(monotonicNow(), m_lastTicket);
     scheduleFlush();
 }
--- a/src/replica_folder.cpp
+++ b/src/replica_folder.cpp
@@ -18,18 +18,19 @@
 
 namespace {
 
-// The disk number of every seed at the first start; all others are drawn at random above it.
-constexpr std::uint64_t FirstDisk = 1;
+// Disk number of every seed at the first start, so that each seed knows the keys of the others; all other disk
+// numbers are random and higher.
+constexpr std::uint64_t BootstrapDisk = 1;
 
-std::uint64_t randomDisk()
+std::uint64_t randomDiskNumber()
 {
     std::random_device device;
     const std::uint64_t drawn = (std::uint64_t{device()} << 32U) | device();
-    return std::max(drawn, FirstDisk + 1);
+    return std::max(drawn, BootstrapDisk + 1);
 }
 
-// All seeds derive the same cluster number from each other.
-std::uint64_t clusterOf(std::span<const ReplicaKey> voters)
+// Cluster id, derived from the list of seeds so that all of them compute the same one.
+std::uint64_t clusterIdOf(std::span<const ReplicaKey> voters)
 {
     std::uint64_t hash = voters.size();
     for (const ReplicaKey &voter : voters) {
@@ -38,35 +39,35 @@
     return std::max<std::uint64_t>(hash, 1);
 }
 
-// At the first start of all, the seeds are the voters, and each seed writes the same beginning of the log.
-leaf::result<RaftStorage> beginCluster(RaftStorage storage, const SteeringFile &file, ReplicaId self)
+// At the first start of a deployment, the seeds are the voters and each writes the same initial log.
+leaf::result<RaftStorage> bootstrapCluster(RaftStorage storage, const SteeringFile &file, ReplicaId self)
 {
     std::vector<ReplicaKey> voters;
     for (const Endpoint &seed : file.seeds) {
-        voters.push_back({ReplicaId{seed.address}, FirstDisk});
+        voters.push_back({ReplicaId{seed.address}, BootstrapDisk});
     }
     std::sort(voters.begin(), voters.end());
-    const bool isSeed = std::find(voters.begin(), voters.end(), ReplicaKey{self, FirstDisk}) != voters.end();
+    const bool isSeed = std::find(voters.begin(), voters.end(), ReplicaKey{self, BootstrapDisk}) != voters.end();
     if (!isSeed || storage.identity().cluster != 0) {
         return storage;
     }
-    const RaftDurable beginning = RaftCore::bootstrap(voters);
+    const PersistentRaftState beginning = RaftCore::bootstrap(voters);
     RaftOutput first;
     first.hard = beginning.hard;
     first.entries = beginning.log;
     BOOST_LEAF_CHECK(storage.persist(first));
-    BOOST_LEAF_CHECK(storage.setCluster(clusterOf(voters)));
-    return RaftStorage::open(file.dataFolder, self, FirstDisk);
+    BOOST_LEAF_CHECK(storage.setCluster(clusterIdOf(voters)));
+    return RaftStorage::open(file.dataFolder, self, BootstrapDisk);
 }
 
 } // namespace
 
-leaf::result<RaftStorage> openReplicaFolder(const SteeringFile &file, ReplicaId self)
+leaf::result<RaftStorage> openReplicaStorage(const SteeringFile &file, ReplicaId self)
 {
-    const std::uint64_t disk = file.firstStart ? FirstDisk : randomDisk();
+    const std::uint64_t disk = file.firstStart ? BootstrapDisk : randomDiskNumber();
     BOOST_LEAF_AUTO(storage, RaftStorage::open(file.dataFolder, self, disk));
     if (file.firstStart) {
-        return beginCluster(std::move(storage), file, self);
+        return bootstrapCluster(std::move(storage), file, self);
     }
     return storage;
 }
--- a/src/replica_members.cpp
+++ b/src/replica_members.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica node: who belongs to the cluster, and the messages of consensus between its members.
+// Replica node: cluster membership and the Raft messages between members.
 #include "log.h"
 #include "replica_node.h"
 
@@ -20,30 +20,30 @@
     return known;
 }
 
-void ReplicaNode::followMembers()
+void ReplicaNode::updateMembers()
 {
     const ClusterConfig &config = raft().config();
-    if (config == m_followed) {
+    if (config == m_knownConfig) {
         return;
     }
-    m_followed = config;
+    m_knownConfig = config;
     m_links.maintain(knownReplicas(), m_file.linkPort);
     std::string voters;
     for (const ReplicaMember &member : config.members) {
         voters += (voters.empty() ? "" : ",") + toText(member.key.id) + (member.voter ? "" : "(learner)");
     }
-    m_listDue = true;
-    tellReplicaList(monotonicNow());
+    m_replicaListDue = true;
+    sendReplicaListIfDue(monotonicNow());
     LogLine(LogLevel::Info, "members-changed").with("members", voters).with("term", value(raft().term()));
 }
 
-// The first change after a pause is told at once. Those that follow share a message: when a fleet starts, each replica
-// learns of all others within a second, and has hundreds of balancers to tell.
-void ReplicaNode::tellReplicaList(TimePoint now)
+// The first change after a pause is sent at once; further changes within ReplicaListInterval are combined into one message.
+// When a fleet starts, each replica learns of all others within a second and has to inform hundreds of balancers.
+void ReplicaNode::sendReplicaListIfDue(TimePoint now)
 {
-    if (m_listDue && now >= m_nextList) {
-        m_listDue = false;
-        m_nextList = now + ReplicaListInterval;
+    if (m_replicaListDue && now >= m_nextReplicaList) {
+        m_replicaListDue = false;
+        m_nextReplicaList = now + ReplicaListInterval;
         m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), replicaList());
     }
 }
@@ -58,15 +58,15 @@
     return list;
 }
 
-// Asks to be taken in, as long as no leader speaks to this replica: its disk is new, or it was removed while
-// it was away.
-void ReplicaNode::rejoin(TimePoint now)
+// Sends join requests as long as no leader contacts this replica: it has a new disk, or it was removed from
+// the configuration while it was away.
+void ReplicaNode::requestJoin(TimePoint now)
 {
     const bool alone = raft().role() == RaftRole::Joining || !raft().inContact(now);
-    if (!alone || now < m_nextJoin) {
+    if (!alone || now < m_nextJoinRequest) {
         return;
     }
-    m_nextJoin = now + RejoinInterval;
+    m_nextJoinRequest = now + JoinRetryInterval;
     for (const ReplicaId replica : knownReplicas()) {
         sendRaft({{replica, 0}, JoinRequest{raft().self()}});
     }
@@ -75,16 +75,17 @@
 void ReplicaNode::sendRaft(const RaftSend &send)
 {
     if (const LinkHandle link = linkFor(send.to.id); link != 0) {
-        m_links.send(link, m_driver->envelopeOf(send));
+        m_links.send(link, m_driver->makeEnvelope(send));
     }
 }
 
-// The link for a message to a replica; 0 if it is lost for want of one, which is counted and said once.
+// The link for a message to a replica; 0 if there is none, so that the message is dropped. Dropped messages are
+// counted, and a change of reachability is logged.
 LinkHandle ReplicaNode::linkFor(ReplicaId replica)
 {
     const LinkHandle link = m_links.linkTo(replica);
     const bool reached = link != 0;
-    if (m_reach.note(replica, reached)) {
+    if (m_reachability.recordSend(replica, reached)) {
         LogLine(reached ? LogLevel::Info : LogLevel::Warning, reached ? "replica-reached" : "replica-unreached").with("replica", toText(replica));
     }
     return link;
@@ -95,24 +96,24 @@
     const std::optional<RaftMessage> message = decodeMessage<RaftMessage>(envelope.message);
     if (!message) {
         ++m_refusedMessages;
-        if (const auto leftOut = m_unreadableLog.take(monotonicNow())) {
+        if (const auto leftOut = m_unreadableLogBudget.take(monotonicNow())) {
             LogLine(LogLevel::Error, "raft-message-unreadable").with("replica", toText(envelope.from.id)).with("left-out", *leftOut);
         }
         return;
     }
     if (!m_driver) {
-        ++m_refusedMessages; // The disk refused, which was said then.
+        ++m_refusedMessages; // The storage failure was logged when it occurred.
         return;
     }
     if (const auto *join = std::get_if<JoinRequest>(&*message)) {
         return onJoin(envelope, *join);
     }
     const Admission admission = m_driver->admit(envelope);
-    if (admission == Admission::DiskRefused) {
-        return loseStorage(monotonicNow());
+    if (admission == Admission::StorageFailed) {
+        return onStorageFailure(monotonicNow());
     }
     if (admission == Admission::Rejected) {
-        ++m_refusedMessages; // For the disk that was here before, or of another cluster, which is said there.
+        ++m_refusedMessages; // For a former disk of this replica, or from another cluster, which admit() logs.
     }
     if (admission == Admission::Admitted) {
         m_driver->core().handle(monotonicNow(), envelope.from, *message);
@@ -120,7 +121,8 @@
     }
 }
 
-// A request to join goes on to the leader, once.
+// Forwards a join request to the leader. Only requests that come from the joining replica itself are forwarded, so that
+// they can't circulate.
 void ReplicaNode::onJoin(const RaftEnvelope &envelope, const JoinRequest &join)
 {
     const ReplicaKey leader = raft().leader();
@@ -132,32 +134,33 @@
     scheduleFlush();
 }
 
-// A replica that hears its leader and does not get what is committed looks well by its links and by its leader.
-void ReplicaNode::watchLag(TimePoint now)
+// Logs when this replica starts or stops lagging. A replica that is in contact with its leader but does not receive the
+// committed entries looks healthy by its links and its leader.
+void ReplicaNode::updateLagState(TimePoint now)
 {
     const bool hearsLeader = m_driver && value(raft().leader().id) != 0 && raft().inContact(now);
     const bool caughtUp = m_driver && raft().caughtUp(now);
-    const bool lags = (m_lags || hearsLeader) && !caughtUp;
-    if (lags == m_lags) {
+    const bool lags = (m_lagging || hearsLeader) && !caughtUp;
+    if (lags == m_lagging) {
         return;
     }
-    m_lags = lags;
+    m_lagging = lags;
     LogLine line(lags ? LogLevel::Warning : LogLevel::Info, lags ? "replica-lags" : "replica-caught-up");
     if (m_driver) {
         line.with("leader", toText(raft().leader().id)).with("commit", value(raft().commitIndex())).with("last", value(raft().lastIndex()));
     }
 }
 
-// What tells a member that lags from one that is not reached.
-void ReplicaNode::describeConsensus(MetricsText &text) const
+// The metrics distinguish a member that lags from one that is unreachable.
+void ReplicaNode::addRaftMetrics(MetricsText &text) const
 {
     const bool leads = m_driver && raft().role() == RaftRole::Leader;
     text.gauge("robinrail_replica_leader", "1 if this replica leads", leads ? 1 : 0);
     text.gauge("robinrail_replica_term", "Term of consensus", m_driver ? static_cast<double>(value(raft().term())) : 0);
     text.gauge("robinrail_replica_commit", "Index of the last committed entry", m_driver ? static_cast<double>(value(raft().commitIndex())) : 0);
     text.gauge("robinrail_replica_last", "Index of the last entry in the log", m_driver ? static_cast<double>(value(raft().lastIndex())) : 0);
-    text.gauge("robinrail_replica_lags", "1 if it hears its leader and lacks what is committed", m_lags ? 1 : 0);
-    text.counter("robinrail_replica_unsent_total", "Messages of consensus for which there was no link", static_cast<double>(m_reach.unsent()));
+    text.gauge("robinrail_replica_lags", "1 if it hears its leader and lacks what is committed", m_lagging ? 1 : 0);
+    text.counter("robinrail_replica_unsent_total", "Messages of consensus for which there was no link", static_cast<double>(m_reachability.unsent()));
     text.counter("robinrail_replica_refused_total",
                  "Messages of consensus that could not be read or were for another disk or cluster",
                  static_cast<double>(m_refusedMessages));
@@ -171,7 +174,7 @@
     describe("robinrail_member_next", "Index that a member is sent next, at the leader", &MemberProgress::next);
 }
 
-void ReplicaNode::logLeader()
+void ReplicaNode::logLeaderChange()
 {
     const ReplicaKey leader = raft().leader();
     if (leader != m_loggedLeader) {
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica node: the disk, members, links and calls.
+// Replica node: storage, timer, balancers and links.
 #include "replica_node.h"
 
 #include "log.h"
@@ -20,15 +20,15 @@
 
 namespace {
 
-// The file of the recovery notes in the data folder.
+// File name of the recovery notes in the data folder.
 constexpr const char *NotesFile = "notes";
 
 RaftPolicy policyOf(const SteeringFile &file)
 {
     RaftPolicy policy;
-    policy.wantedVoters = 2 * file.borneLosses + 1;
-    policy.copies = file.borneLosses + 1;
-    policy.lostAfter = VoterLostAfter;
+    policy.desiredVoters = 2 * file.borneLosses + 1;
+    policy.minCopies = file.borneLosses + 1;
+    policy.voterTimeout = VoterReplacementTimeout;
     return policy;
 }
 
@@ -50,7 +50,7 @@
                [this](LinkHandle link, const NodeHello &peer) {
                    onClosed(link, peer);
                }})
-    , m_targets(m_links, monotonicNow(), place(), m_file.announceInterval, m_file.borneLoss())
+    , m_targets(m_links, monotonicNow(), ownPlace(), m_file.announceInterval, m_file.borneLoss())
     , m_prober(io)
     , m_notes(m_file.dataFolder / NotesFile)
     , m_timer(io)
@@ -89,14 +89,14 @@
 
 // ---- Storage ----
 
-// Opens the disk, or tries again later: a full or failing disk must not end the process, which still serves
-// the targets' announcements.
+// Opens the storage; on failure tick() retries later. A full or failing disk must not end the process, which can still
+// handle the announcements of targets.
 void ReplicaNode::openStorage(TimePoint now)
 {
-    m_storageDue = now + StorageRetry;
+    m_nextStorageAttempt = now + StorageRetryInterval;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
-            BOOST_LEAF_AUTO(storage, openReplicaFolder(m_file, m_self));
+            BOOST_LEAF_AUTO(storage, openReplicaStorage(m_file, m_self));
             const std::uint64_t disk = storage.identity().disk;
             const RecoveryNotes notes = readRecoveryNotes(m_file.dataFolder / NotesFile, disk);
             m_driver.emplace(std::move(storage), now, std::random_device()(), policyOf(m_file), notes.committed);
@@ -121,7 +121,7 @@
         });
 }
 
-// Failed writes cost time after a restart and nothing else; the file says why in the log.
+// Failed writes only delay recovery after a restart; AsyncFileWriter logs the reason.
 void ReplicaNode::writeNotes()
 {
     m_notesDue = m_targets.takeChanged() || m_notesDue;
@@ -132,39 +132,39 @@
     m_notesDue = !m_notes.replace(encodeNotes(notes));
 }
 
-// After a refused write nothing may be acknowledged: what the core believes is thrown away and read anew
-// from the disk, as after a restart.
-void ReplicaNode::loseStorage(TimePoint now)
+// After a failed write nothing may be acknowledged: the state of the core is discarded and recovered from disk, as after a
+// restart.
+void ReplicaNode::onStorageFailure(TimePoint now)
 {
     ++m_storageFailures;
     m_driver.reset();
-    m_storageDue = now + StorageRetry;
-    for (const auto &[ticket, respond] : std::exchange(m_open, {})) {
-        respond(ReplicaAnswer::Unavailable);
+    m_nextStorageAttempt = now + StorageRetryInterval;
+    for (const auto &[ticket, respond] : std::exchange(m_pendingCalls, {})) {
+        respond(CallOutcome::Unavailable);
     }
 }
 
-// ---- The driver's loop: tick, persist, send, apply ----
+// ---- Driver loop: tick, persist, send, apply ----
 
 void ReplicaNode::tick()
 {
     const TimePoint now = monotonicNow();
     m_links.tick(now);
-    if (!m_driver && now >= m_storageDue) {
+    if (!m_driver && now >= m_nextStorageAttempt) {
         openStorage(now);
     }
     if (m_driver) {
         m_driver->core().tick(now);
-        rejoin(now);
+        requestJoin(now);
         flush();
     }
-    beat(now);
-    tellReplicaList(now);
-    tellUnreachable(now);
+    sendPeriodicUpdate(now);
+    sendReplicaListIfDue(now);
+    reportUnreachableTargets(now);
     m_targets.reconcile(now);
     m_targets.publish(now);
     m_targets.expireDrains(now);
-    m_timer.expires_after(ReplicaTick);
+    m_timer.expires_after(ReplicaTickInterval);
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             tick();
@@ -172,7 +172,7 @@
     });
 }
 
-// Everything that arrives in one turn of the event loop shares one sync.
+// Batches all messages that arrive in one turn of the event loop into one write and sync.
 void ReplicaNode::scheduleFlush()
 {
     if (m_flushScheduled) {
@@ -191,79 +191,80 @@
         return;
     }
     const LogIndex committed = raft().commitIndex();
-    const bool works = m_driver->round([this](const RaftSend &send) {
+    const bool works = m_driver->processOutput([this](const RaftSend &send) {
         sendRaft(send);
     });
     if (!works) {
-        return loseStorage(monotonicNow());
+        return onStorageFailure(monotonicNow());
     }
     m_notesDue = m_notesDue || raft().commitIndex() != committed;
     for (const Driver::Core::Reply &reply : m_driver->core().takeReplies()) {
-        answer(reply);
+        completeCall(reply);
     }
-    followMembers();
-    offerRouting();
-    logLeader();
+    updateMembers();
+    publishRoutingOffer();
+    logLeaderChange();
 }
 
-void ReplicaNode::answer(const Driver::Core::Reply &reply)
+void ReplicaNode::completeCall(const Driver::Core::Reply &reply)
 {
-    const auto at = m_open.find(reply.ticket);
-    if (at == m_open.end()) {
+    const auto at = m_pendingCalls.find(reply.ticket);
+    if (at == m_pendingCalls.end()) {
         return;
     }
     const Respond respond = std::move(at->second);
-    m_open.erase(at);
+    m_pendingCalls.erase(at);
     switch (reply.status) {
-    case ControlStatus::NotLeader:
-        return respond(ReplicaAnswer::Elsewhere);
-    case ControlStatus::Unknown:
-        return respond(ReplicaAnswer::Unavailable);
-    case ControlStatus::Done:
-        return respond(ReplicaAnswer::Done);
+    case RequestStatus::NotLeader:
+        return respond(CallOutcome::NotLeader);
+    case RequestStatus::Unknown:
+        return respond(CallOutcome::Unavailable);
+    case RequestStatus::Done:
+        return respond(CallOutcome::Done);
     }
 }
 
 // ---- Balancers ----
 
-bool ReplicaNode::confirmed(TimePoint now) const
+bool ReplicaNode::confirmsRouting(TimePoint now) const
 {
-    return m_driver && m_versions.newest(raft().caughtUp(now), progress());
+    return m_driver && m_versionTracker.isNewest(raft().caughtUp(now), routingProgress());
 }
 
-RoutingProgress ReplicaNode::progress() const
+RoutingProgress ReplicaNode::routingProgress() const
 {
     return {document().table.version, drains().revision()};
 }
 
-RoutingOffer ReplicaNode::offer(TimePoint now) const
+RoutingOffer ReplicaNode::currentOffer(TimePoint now) const
 {
-    RoutingOffer offer{progress(), confirmed(now), {}};
+    RoutingOffer offer{routingProgress(), confirmsRouting(now), {}};
     for (const std::string &name : drains().drained()) {
         offer.drained.push_back(m_file.dataCentreId(name));
     }
     return offer;
 }
 
-void ReplicaNode::offerRouting()
+void ReplicaNode::publishRoutingOffer()
 {
-    const RoutingOffer now = offer(monotonicNow());
-    const bool changed = now.progress != m_offered.progress;
+    const RoutingOffer current = currentOffer(monotonicNow());
+    const bool changed = current.progress != m_lastOffer.progress;
     if (changed) {
         LogLine(LogLevel::Info, "routing-in-force")
-            .with("version", now.progress.version)
+            .with("version", current.progress.version)
             .with("routes", document().table.routes.size())
-            .with("drain-revision", now.progress.drainRevision)
-            .with("drained", now.drained.size());
+            .with("drain-revision", current.progress.drainRevision)
+            .with("drained", current.drained.size());
     }
-    // Balancers that have just started wait for a confirmed version; those that lost a quorum need not know.
-    if (changed || (now.confirmed && !m_offered.confirmed)) {
-        m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), now);
+    // A first confirmation is sent at once, as balancers that have just started wait for it. The loss of the confirmation
+    // is not urgent and goes with the next periodic update.
+    if (changed || (current.confirmed && !m_lastOffer.confirmed)) {
+        m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), current);
     }
-    m_offered = now;
+    m_lastOffer = current;
 }
 
-// Encodes a table once for all who ask: after a loss of power hundreds of balancers ask within a fraction of a second.
+// Encodes each table only once: after a power loss hundreds of balancers request it within a fraction of a second.
 void ReplicaNode::sendTable(LinkHandle link)
 {
     if (m_encodedTable.empty() || m_encodedVersion != document().table.version) {
@@ -273,10 +274,10 @@
     m_links.sendEncoded(link, m_encodedTable);
 }
 
-void ReplicaNode::tellUnreachable(TimePoint now)
+void ReplicaNode::reportUnreachableTargets(TimePoint now)
 {
     m_prober.tick(now);
-    const TargetsUnreachable found{place(), m_prober.takeUnreachable()};
+    const TargetsUnreachable found{ownPlace(), m_prober.takeUnreachable()};
     if (!found.keys.empty()) {
         m_links.sendAll(m_links.dialled(), found);
         m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), found);
@@ -284,15 +285,15 @@
     }
 }
 
-void ReplicaNode::beat(TimePoint now)
+void ReplicaNode::sendPeriodicUpdate(TimePoint now)
 {
-    if (now < m_nextBeat) {
+    if (now < m_nextUpdate) {
         return;
     }
-    m_nextBeat = now + ReplicaBeatInterval;
+    m_nextUpdate = now + ReplicaUpdateInterval;
     writeNotes();
-    watchLag(now);
-    const RoutingOffer current = offer(now);
+    updateLagState(now);
+    const RoutingOffer current = currentOffer(now);
     m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), current);
     m_links.sendAll(m_links.dialled(), current);
     m_targets.sendHeartbeat(now);
@@ -306,9 +307,9 @@
     if (peer.role == NodeRole::Replica) {
         const bool moved = std::exchange(m_dataCentres[peer.replica], peer.dataCentre) != peer.dataCentre;
         if (moved) {
-            // Balancers of its data centre look for it there.
-            m_listDue = true;
-            tellReplicaList(now);
+            // Balancers prefer replicas in their own data centre, so they need the updated list.
+            m_replicaListDue = true;
+            sendReplicaListIfDue(now);
         }
         if (m_driver) {
             m_driver->core().setDataCentre(peer.replica, peer.dataCentre);
@@ -317,7 +318,7 @@
         m_targets.linked(peer.replica, link);
     } else {
         m_links.send(link, replicaList());
-        m_links.send(link, offer(now));
+        m_links.send(link, currentOffer(now));
     }
 }
 
@@ -349,7 +350,7 @@
     } else if (const auto *heard = std::get_if<TargetLeaseUpdate>(&message)) {
         m_targets.onLeaseUpdate(monotonicNow(), link, *heard);
     } else if (const auto *offered = std::get_if<RoutingOffer>(&message)) {
-        m_versions.sawInForce(offered->progress);
+        m_versionTracker.observeInForce(offered->progress);
     } else if (const auto *receipts = std::get_if<TargetReceipts>(&message)) {
         m_targets.onReceipts(monotonicNow(), {peer.replica, peer.dataCentre}, *receipts);
     } else if (const auto *digest = std::get_if<DirectoryDigest>(&message)) {
@@ -365,13 +366,14 @@
     }
 }
 
-// A balancer reports to one replica, which names those that are to probe, as several must agree.
+// A balancer reports unanswered targets to one replica, which selects the replicas that probe them: several must agree
+// before a target counts as unreachable.
 void ReplicaNode::onUnanswered(const NodeHello &peer, const TargetsUnanswered &list)
 {
     if (peer.role == NodeRole::Replica) {
         return probe(list);
     }
-    const std::size_t probers = 2 * m_file.borneLosses + 1; // So that enough are left of them when a borne loss has struck.
+    const std::size_t probers = 2 * m_file.borneLosses + 1; // Enough remain after the number of losses that must be tolerated.
     const std::vector<ReplicaPlace> reachable = reachableReplicas();
     std::map<ReplicaId, TargetsUnanswered> shares;
     for (const TargetKey key : list.keys) {
@@ -396,15 +398,15 @@
     });
 }
 
-ReplicaPlace ReplicaNode::place() const
+ReplicaPlace ReplicaNode::ownPlace() const
 {
     return {m_self, m_file.dataCentreId(m_file.dataCentre)};
 }
 
-// This replica and those that it is linked with.
+// This replica and those that it has a link to.
 std::vector<ReplicaPlace> ReplicaNode::reachableReplicas() const
 {
-    std::vector<ReplicaPlace> reachable{place()};
+    std::vector<ReplicaPlace> reachable{ownPlace()};
     for (const auto &[replica, dataCentre] : m_dataCentres) {
         if (replica != m_self && m_links.linkTo(replica) != 0) {
             reachable.push_back({replica, dataCentre});
@@ -413,7 +415,7 @@
     return reachable;
 }
 
-// ---- Small questions ----
+// ---- Accessors ----
 
 const RoutingDocument &ReplicaNode::document() const
 {
@@ -447,7 +449,7 @@
 std::string ReplicaNode::metricsText() const
 {
     MetricsText text;
-    describeConsensus(text);
+    addRaftMetrics(text);
     text.gauge("robinrail_routing_version", "Version of the routing document in force", static_cast<double>(document().table.version));
     text.gauge("robinrail_drained_data_centres", "Data centres that get no new flows", static_cast<double>(drains().drained().size()));
     text.gauge("robinrail_targets_known", "Targets in the directory", static_cast<double>(m_targets.size()));
--- a/src/replicated_core.h
+++ b/src/replicated_core.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replicated core: a replica without I/O, that is consensus, a state machine and whoever waits for answers.
+// Replicated core: a replica without I/O. Combines the Raft core, a state machine and the pending client requests.
 #pragma once
 
 #include "raft_core.h"
@@ -12,12 +12,12 @@
 
 namespace Robinrail {
 
-// After this many applied entries the log is replaced by a snapshot of the state.
+// The log is compacted into a snapshot after this many applied entries.
 inline constexpr std::uint64_t CompactionInterval = 4096;
 
-// What consensus replicates. Deterministic: the same commands in the same order give the same state.
+// The replicated state machine. Must be deterministic: the same commands in the same order give the same state.
 template<typename M>
-concept StateMachine = requires(M &machine, const M &sound, BytesView bytes, const typename M::Change &change)
+concept StateMachine = requires(M &machine, const M &constMachine, BytesView bytes, const typename M::Change &change)
 {
     {
         M::encodeChange(change)
@@ -26,7 +26,7 @@
         machine.applyCommand(bytes)
         } -> std::same_as<typename M::Result>;
     {
-        sound.serialize()
+        constMachine.serialize()
         } -> std::same_as<Bytes>;
     {
         machine.restore(bytes)
@@ -36,11 +36,11 @@
         } -> std::convertible_to<std::size_t>;
 };
 
-// How a request to a replica ended.
-enum class ControlStatus : std::uint8_t {
+// Result of a request to a replica.
+enum class RequestStatus : std::uint8_t {
     Done,
-    NotLeader, // Nothing was done; ask the leader.
-    Unknown, // The change may be applied or not; send it again.
+    NotLeader, // Nothing was done; retry at the leader.
+    Unknown, // The change may or may not be applied; retry.
 };
 
 template<StateMachine Machine>
@@ -49,11 +49,11 @@
 public:
     struct Reply {
         std::uint64_t ticket = 0;
-        ControlStatus status = ControlStatus::Done;
-        typename Machine::Result result; // Of a change that is done.
+        RequestStatus status = RequestStatus::Done;
+        typename Machine::Result result; // Result of the change if the status is Done.
     };
 
-    ReplicatedCore(ReplicaKey self, RaftDurable durable, TimePoint now, std::uint32_t seed, RaftPolicy policy = {})
+    ReplicatedCore(ReplicaKey self, PersistentRaftState durable, TimePoint now, std::uint32_t seed, RaftPolicy policy = {})
         : m_raft(self, durable, now, seed, policy)
     {
         if (durable.snapshot) {
@@ -64,49 +64,49 @@
     void tick(TimePoint now)
     {
         m_raft.tick(now);
-        failWaiting();
+        failPendingRequests();
     }
 
     void handle(TimePoint now, ReplicaKey from, const RaftMessage &message)
     {
         m_raft.handle(now, from, message);
-        failWaiting();
+        failPendingRequests();
     }
 
-    // Proposes a change; its reply with this ticket comes from takeReplies().
+    // Proposes a change; takeReplies() returns the reply with this ticket.
     void submit(TimePoint now, std::uint64_t ticket, const typename Machine::Change &change)
     {
         const std::optional<LogIndex> index = m_raft.propose(now, Machine::encodeChange(change));
         if (!index) {
-            m_replies.push_back({ticket, ControlStatus::NotLeader, {}});
+            m_replies.push_back({ticket, RequestStatus::NotLeader, {}});
             return;
         }
-        m_waiting[*index] = {ticket, m_raft.term()};
+        m_pendingChanges[*index] = {ticket, m_raft.term()};
     }
 
-    // Asks for a linearizable read: once the reply with this ticket is Done, state() may be read.
+    // Requests a linearizable read: once the reply with this ticket is Done, state() may be read.
     void read(TimePoint now, std::uint64_t ticket)
     {
-        m_openReads.insert(ticket);
+        m_unconfirmedReads.insert(ticket);
         if (!m_raft.requestRead(now, ticket)) {
-            m_openReads.erase(ticket);
-            m_replies.push_back({ticket, ControlStatus::NotLeader, {}});
+            m_unconfirmedReads.erase(ticket);
+            m_replies.push_back({ticket, RequestStatus::NotLeader, {}});
         }
     }
 
-    // Says in which data centre a replica is; voters are spread over them.
+    // Sets the data centre of a replica; voters are spread over the data centres.
     void setDataCentre(ReplicaId replica, DataCentreId dataCentre)
     {
         m_raft.setDataCentre(replica, dataCentre);
     }
 
-    // What must be persisted, then sent. After that the driver calls apply() with the same output.
+    // Output to persist and then to send. After that the driver calls apply() with the same output.
     RaftOutput takeOutput()
     {
         return m_raft.takeOutput();
     }
 
-    // Applies what was committed; call it once the output is persisted and synced.
+    // Applies the committed entries; to be called once the output is persisted and synced.
     void apply(const RaftOutput &output)
     {
         if (output.snapshot) {
@@ -115,14 +115,14 @@
         for (const LogEntry &entry : output.committed) {
             applyEntry(entry);
         }
-        for (const ReadReady &read : output.reads) {
-            m_openReads.erase(read.ticket);
-            m_reads.push_back(read);
+        for (const ConfirmedRead &read : output.reads) {
+            m_unconfirmedReads.erase(read.ticket);
+            m_confirmedReads.push_back(read);
         }
         answerReads();
     }
 
-    // Replaces the log by a snapshot if it has grown; true if the driver must write raft().snapshot().
+    // Compacts the log into a snapshot if it has grown enough; true if the driver must persist raft().snapshot().
     bool compactIfDue()
     {
         const bool many = value(m_applied) >= value(m_raft.snapshot().index) + CompactionInterval;
@@ -150,16 +150,16 @@
     }
 
 private:
-    struct Waiting {
+    struct PendingChange {
         std::uint64_t ticket = 0;
         Term term{};
     };
 
     void restore(const Snapshot &snapshot)
     {
-        // The first snapshot of a cluster may be empty: nothing was applied yet.
-        [[maybe_unused]] const bool sound = snapshot.state.empty() || m_state.restore(snapshot.state);
-        assert(sound);
+        // The state is empty if nothing was applied before the snapshot.
+        [[maybe_unused]] const bool restored = snapshot.state.empty() || m_state.restore(snapshot.state);
+        assert(restored);
         m_applied = snapshot.index;
         m_appliedBytes = 0;
     }
@@ -173,48 +173,48 @@
         if (entry.kind == EntryKind::Command) {
             result = m_state.applyCommand(entry.data);
         }
-        const auto waiting = m_waiting.find(entry.index);
-        if (waiting != m_waiting.end()) {
+        const auto waiting = m_pendingChanges.find(entry.index);
+        if (waiting != m_pendingChanges.end()) {
             const bool own = waiting->second.term == entry.term;
-            m_replies.push_back({waiting->second.ticket, own ? ControlStatus::Done : ControlStatus::Unknown, result});
-            m_waiting.erase(waiting);
+            m_replies.push_back({waiting->second.ticket, own ? RequestStatus::Done : RequestStatus::Unknown, result});
+            m_pendingChanges.erase(waiting);
         }
     }
 
     void answerReads()
     {
-        std::erase_if(m_reads, [this](const ReadReady &read) {
+        std::erase_if(m_confirmedReads, [this](const ConfirmedRead &read) {
             if (read.index > m_applied) {
                 return false;
             }
-            m_replies.push_back({read.ticket, ControlStatus::Done, {}});
+            m_replies.push_back({read.ticket, RequestStatus::Done, {}});
             return true;
         });
     }
 
-    // A replica that no longer leads can't say what becomes of the changes that it proposed.
-    void failWaiting()
+    // A replica that is no longer the leader can't tell whether the changes that it proposed will be committed.
+    void failPendingRequests()
     {
         if (m_raft.role() == RaftRole::Leader) {
             return;
         }
-        for (const auto &[index, waiting] : m_waiting) {
-            m_replies.push_back({waiting.ticket, ControlStatus::Unknown, {}});
+        for (const auto &[index, waiting] : m_pendingChanges) {
+            m_replies.push_back({waiting.ticket, RequestStatus::Unknown, {}});
         }
-        m_waiting.clear();
-        for (const std::uint64_t ticket : m_openReads) {
-            m_replies.push_back({ticket, ControlStatus::NotLeader, {}});
+        m_pendingChanges.clear();
+        for (const std::uint64_t ticket : m_unconfirmedReads) {
+            m_replies.push_back({ticket, RequestStatus::NotLeader, {}});
         }
-        m_openReads.clear();
+        m_unconfirmedReads.clear();
     }
 
     RaftCore m_raft;
     Machine m_state;
     LogIndex m_applied{};
-    std::size_t m_appliedBytes = 0; // Of the entries since the last snapshot.
-    std::map<LogIndex, Waiting> m_waiting;
-    std::vector<ReadReady> m_reads; // Confirmed, but not applied far enough yet.
-    std::set<std::uint64_t> m_openReads; // Asked for and not confirmed.
+    std::size_t m_appliedBytes = 0; // Size of the entries applied since the last snapshot.
+    std::map<LogIndex, PendingChange> m_pendingChanges;
+    std::vector<ConfirmedRead> m_confirmedReads; // Waiting until their index is applied.
+    std::set<std::uint64_t> m_unconfirmedReads; // Tickets of reads that wait for the leadership check.
     std::vector<Reply> m_replies;
 };
 
--- a/src/routing_state.h
+++ b/src/routing_state.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Routing state: what a cluster whose operators are trusted by their network agrees on, that is the routing document and
-// the data centres that are drained. The document's text is kept as it was sent, so that a read returns it unchanged.
+// Routing state: the state machine of the routing replicas, consisting of the routing document and the drained data
+// centres. Changes are not signed: operators are trusted by their network. The document's text is kept as it was sent, so
+// that a read returns it unchanged.
 #pragma once
 
 #include "codec.h"
@@ -12,7 +13,7 @@
 
 namespace Robinrail {
 
-// A checked document: the text that the operator sent, and what balancers need of it.
+// A validated routing document: the text that the operator sent, and the routing table derived from it.
 struct RoutingDocument {
     std::string text;
     RoutingTable table;
@@ -23,19 +24,19 @@
     }
 };
 
-// A change as the log carries it. The order of the alternatives is the format on disk.
+// A change as stored in the log. The order of the alternatives is part of the disk format.
 using RoutingChange = std::variant<RoutingDocument, DataCentreDrainOrder>;
 
-// The held version after a change, which is the proposed one or a higher one.
+// Result of a change, with the version of the document in force after it.
 struct RoutingResult {
     VersionVerdict verdict = VersionVerdict::Superseded;
-    std::uint64_t held = 0;
+    std::uint64_t currentVersion = 0;
 };
 
 namespace detail {
 
-// The whole state, as it goes into a snapshot.
-struct RoutingImage {
+// The whole state as stored in a snapshot.
+struct FullRoutingState {
     RoutingDocument document;
     DataCentreDrains drains;
 
@@ -45,8 +46,8 @@
     }
 };
 
-// Snapshots of earlier releases are a document alone.
-using RoutingSnapshot = std::variant<RoutingDocument, RoutingImage>;
+// Snapshots of earlier releases consist of the document alone.
+using RoutingSnapshot = std::variant<RoutingDocument, FullRoutingState>;
 
 } // namespace detail
 
@@ -57,7 +58,7 @@
     using Change = RoutingChange;
     using Result = RoutingResult;
 
-    // Entries of this many bytes are replaced by a snapshot. A document has up to 100 KB and a disk 128 MB.
+    // The log is compacted after this many bytes of entries. A document has up to 100 KB, and a disk 128 MB.
     static constexpr std::size_t CompactionBytes = std::size_t{1} << 20U;
 
     static Bytes encodeChange(const RoutingChange &change)
@@ -80,7 +81,7 @@
 
     Bytes serialize() const
     {
-        return encodeMessage(detail::RoutingSnapshot(detail::RoutingImage{m_document, m_drains}));
+        return encodeMessage(detail::RoutingSnapshot(detail::FullRoutingState{m_document, m_drains}));
     }
 
     bool restore(BytesView bytes)
@@ -89,7 +90,7 @@
         if (!snapshot) {
             return false;
         }
-        if (auto *image = std::get_if<detail::RoutingImage>(&*snapshot)) {
+        if (auto *image = std::get_if<detail::FullRoutingState>(&*snapshot)) {
             m_document = std::move(image->document);
             m_drains = std::move(image->drains);
         } else {
@@ -99,7 +100,7 @@
         return true;
     }
 
-    // Version 0 as long as there is none.
+    // Version 0 if there is no document yet.
     const RoutingDocument &document() const
     {
         return m_document;
@@ -113,8 +114,8 @@
 private:
     RoutingResult applyDocument(RoutingDocument document)
     {
-        const std::uint64_t held = m_document.table.version;
-        const VersionVerdict verdict = Order::judge(held, held, document.table.version);
+        const std::uint64_t currentVersion = m_document.table.version;
+        const VersionVerdict verdict = Order::evaluate(currentVersion, currentVersion, document.table.version);
         if (verdict == VersionVerdict::Apply) {
             m_document = std::move(document);
         }
--- a/tests/test_disk.h
+++ b/tests/test_disk.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Test disk: a data folder for one test case, and a disk that is full.
+// Test disk: a temporary data folder and a simulated full disk.
 #pragma once
 
 #include <csignal>
@@ -11,18 +11,18 @@
 
 namespace Robinrail {
 
-// A folder of its own for each case, removed at the end.
-class Folder
+// A new temporary folder, removed at the end of the scope.
+class TemporaryFolder
 {
 public:
-    Folder()
+    TemporaryFolder()
     {
         std::string pattern = (std::filesystem::temp_directory_path() / "robinrail-test-XXXXXX").string();
         m_path = ::mkdtemp(pattern.data());
     }
-    Folder(const Folder &) = delete;
-    Folder &operator=(const Folder &) = delete;
-    ~Folder()
+    TemporaryFolder(const TemporaryFolder &) = delete;
+    TemporaryFolder &operator=(const TemporaryFolder &) = delete;
+    ~TemporaryFolder()
     {
         std::filesystem::remove_all(m_path);
     }
@@ -35,7 +35,7 @@
     std::filesystem::path m_path;
 };
 
-// As long as it lives, files of this process can't grow beyond a size: writes fail as on a full disk.
+// Limits the file size of this process while it exists, so that writes fail as on a full disk.
 class FullDisk
 {
 public:
--- a/tests/test_targets.cpp
+++ b/tests/test_targets.cpp
@@ -315,17 +315,17 @@
 
 TEST_CASE("the highest version is applied under one ordering, and the expected base version under the other")
 {
-    CHECK(HighestVersion::judge(7, 0, 9) == VersionVerdict::Apply);
-    CHECK(HighestVersion::judge(7, 7, 7) == VersionVerdict::Superseded);
-    CHECK(HighestVersion::judge(7, 7, 3) == VersionVerdict::Superseded);
-    CHECK(CompareAndSet::judge(7, 7, 8) == VersionVerdict::Apply);
-    CHECK(CompareAndSet::judge(7, 6, 8) == VersionVerdict::Conflict);
+    CHECK(HighestVersion::evaluate(7, 0, 9) == VersionVerdict::Apply);
+    CHECK(HighestVersion::evaluate(7, 7, 7) == VersionVerdict::Superseded);
+    CHECK(HighestVersion::evaluate(7, 7, 3) == VersionVerdict::Superseded);
+    CHECK(CompareAndSet::evaluate(7, 7, 8) == VersionVerdict::Apply);
+    CHECK(CompareAndSet::evaluate(7, 6, 8) == VersionVerdict::Conflict);
 
     RoutingState state;
     RoutingDocument document{"second", tableOf(9)};
     CHECK(state.applyCommand(RoutingState::encodeChange(document)).verdict == VersionVerdict::Apply);
     document = {"older", tableOf(4)};
-    CHECK(state.applyCommand(RoutingState::encodeChange(document)).held == 9);
+    CHECK(state.applyCommand(RoutingState::encodeChange(document)).currentVersion == 9);
     CHECK(state.document().text == "second");
     RoutingState restored;
     CHECK(restored.restore(state.serialize()));
