--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -239,7 +239,7 @@
     }
 
     TimePoint now{std::chrono::hours(1)};
-    BalancerCore<DealtSlots> core;
+    BalancerCore<PartitionedSlots> core;
 };
 
 HotBalancer &hotBalancer()
@@ -358,10 +358,10 @@
         printHead();
         for (const auto &[place, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
             std::cout << "-- " << place << ", ways to share slots\n";
-            compare<OwnCounts>("own counts", deployment, seed);
-            compare<DealtTargets>("dealt targets", deployment, seed);
-            compare<DealtSlotsAlone>("dealt slots alone", deployment, seed);
-            compare<DealtSlots>("dealt slots, offload", deployment, seed);
+            compare<OptimisticSlots>("own counts", deployment, seed);
+            compare<PartitionedTargets>("dealt targets", deployment, seed);
+            compare<PartitionedSlotsNoOffload>("dealt slots alone", deployment, seed);
+            compare<PartitionedSlots>("dealt slots, offload", deployment, seed);
             printIdealAndBaselines(deployment, seed);
         }
     }
@@ -370,7 +370,7 @@
     printHead();
     for (const auto &[place, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
         for (const Scenario &scenario : scenariosOf(place, deployment, seed)) {
-            rows.push_back({scenario.name, Simulation<DealtSlots>(scenario.options).run()});
+            rows.push_back({scenario.name, Simulation<PartitionedSlots>(scenario.options).run()});
             signature = hashPair(signature, rows.back().result.signature());
             print(rows.back());
         }
--- a/bench/simulation.cpp
+++ b/bench/simulation.cpp
@@ -709,9 +709,9 @@
     return result;
 }
 
-template class Simulation<OwnCounts>;
-template class Simulation<DealtTargets>;
-template class Simulation<DealtSlotsAlone>;
-template class Simulation<DealtSlots>;
+template class Simulation<OptimisticSlots>;
+template class Simulation<PartitionedTargets>;
+template class Simulation<PartitionedSlotsNoOffload>;
+template class Simulation<PartitionedSlots>;
 
 } // namespace Robinrail
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -131,9 +131,9 @@
     return heartbeat;
 }
 
-std::unique_ptr<BalancerCore<DealtSlots>> balancerWith(std::uint16_t peers, std::uint32_t targets)
+std::unique_ptr<BalancerCore<PartitionedSlots>> balancerWith(std::uint16_t peers, std::uint32_t targets)
 {
-    auto core = std::make_unique<BalancerCore<DealtSlots>>(settingsWith(peers));
+    auto core = std::make_unique<BalancerCore<PartitionedSlots>>(settingsWith(peers));
     for (std::uint16_t id = 2; id <= peers + 1; ++id) {
         core->handlePeer(Start, {id, 5000}, heartbeatFrom(id, 1));
     }
@@ -226,7 +226,7 @@
             [&] {
                 now += HeartbeatInterval;
                 for (std::uint16_t id = 2; id <= static_cast<std::uint16_t>(size) + 1; ++id) {
-                    core->context().peers.noteAlive(now, {BalancerId{id}, Incarnation{1'700'000'000'000}});
+                    core->context().peers.recordAlive(now, {BalancerId{id}, Incarnation{1'700'000'000'000}});
                 }
                 core->tick(now);
                 for (const Outgoing &outgoing : core->takeOutbox()) {
--- a/fuzz/fuzz_message.cpp
+++ b/fuzz/fuzz_message.cpp
@@ -20,7 +20,7 @@
     settings.self = {BalancerId{1}, Incarnation{1}};
     settings.peers = {{BalancerId{1}, {1, 1}}, {BalancerId{2}, {2, 2}}};
     settings.connectionIdKeys = {{1, {1}}};
-    BalancerCore<DealtSlots> core(settings);
+    BalancerCore<PartitionedSlots> core(settings);
     const ServiceSettings services[] = {{ServiceId{1}, "s"}};
     const TimePoint now{std::chrono::hours(1)};
     core.applyBundle(now, 1, services);
--- a/src/api_json.cpp
+++ b/src/api_json.cpp
@@ -120,7 +120,7 @@
             {"feeds", target.feeds},
             {"connections", announcement.connections},
             {"reportedRunning", announcement.reportedRunning},
-            {"silentAttempts", target.silentAttempts},
+            {"silentAttempts", target.unansweredAttempts},
             {"lastHeardSecondsAgo", seconds(now - target.lastHeard)}};
 }
 
--- a/src/balancer_core.cpp
+++ b/src/balancer_core.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // A balancer without any live peer is ready after this time; else once a peer told it what it knows.
-constexpr Duration AloneReadyTime = GoneAfter;
+constexpr Duration NoPeerReadyDelay = PeerTimeout;
 
 } // namespace
 
@@ -150,7 +150,7 @@
     if (!owner || *owner == m_context.peers.self()) {
         return onOwnerGone(now, packet, *id, message);
     }
-    if (onOwnerStopping(now, packet, *id, message)) {
+    if (adoptFromStoppingOwner(now, packet, *id, message)) {
         return;
     }
     relay(now, packet, *owner, message);
@@ -231,7 +231,7 @@
 
 // Moves a flow off an owner that stops. True if the packet needs no relaying to that owner any more.
 template<SlotPolicy Policy>
-bool BalancerCore<Policy>::onOwnerStopping(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message)
+bool BalancerCore<Policy>::adoptFromStoppingOwner(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message)
 {
     const Peer *peer = m_context.peers.find(id.owner.id);
     if (m_context.peers.stopping() || peer == nullptr || !peer->stopping || peer->incarnation != id.owner.incarnation) {
@@ -436,7 +436,7 @@
 template<SlotPolicy Policy>
 bool BalancerCore<Policy>::ready() const
 {
-    const bool heard = m_sawPeer || (m_startedKnown && m_now - m_started >= AloneReadyTime);
+    const bool heard = m_sawPeer || (m_startedKnown && m_now - m_started >= NoPeerReadyDelay);
     return heard && m_context.bundleVersion > 0 && !m_context.peers.stopping();
 }
 
@@ -464,9 +464,9 @@
     return m_requests.queued(service);
 }
 
-template class BalancerCore<OwnCounts>;
-template class BalancerCore<DealtTargets>;
-template class BalancerCore<DealtSlotsAlone>;
-template class BalancerCore<DealtSlots>;
+template class BalancerCore<OptimisticSlots>;
+template class BalancerCore<PartitionedTargets>;
+template class BalancerCore<PartitionedSlotsNoOffload>;
+template class BalancerCore<PartitionedSlots>;
 
 } // namespace Robinrail
--- a/src/balancer_core.h
+++ b/src/balancer_core.h
@@ -93,7 +93,7 @@
     void onOwnFlow(TimePoint now, const CallerPacket &packet, const ConnectionId &id, Flow &flow, const PollFeed &poll);
     void onHandedOver(TimePoint now, const CallerPacket &packet, const ConnectionId &id, BalancerKey to, const Message &message);
     void onOwnerGone(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message);
-    bool onOwnerStopping(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message);
+    bool adoptFromStoppingOwner(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message);
     FlowId adopt(TimePoint now, const CallerPacket &packet, const ConnectionId &id);
     FlowId insertFlow(TimePoint now, const CallerPacket &packet, TargetId target);
     void sendMoved(const CallerPacket &packet, FlowId previous, FlowId flow);
--- a/src/balancer_daemon.h
+++ b/src/balancer_daemon.h
@@ -94,7 +94,7 @@
     BalancerFile m_file;
     BalancerMemory m_memory;
     bool m_testFaults;
-    BalancerCore<DealtSlots> m_core;
+    BalancerCore<PartitionedSlots> m_core;
     DatagramGuard m_guard;
     RolloutAgent m_rollout;
     SecureLinks m_links;
--- a/src/balancer_peers.cpp
+++ b/src/balancer_peers.cpp
@@ -55,7 +55,7 @@
 template<SlotPolicy Policy>
 void BalancerCore<Policy>::takeRelayed(TimePoint now, const RelayedPacket &relayed)
 {
-    m_context.peers.noteAlive(now, relayed.relay);
+    m_context.peers.recordAlive(now, relayed.relay);
     const std::optional<Message> inner = decodeMessage<Message>(relayed.packet);
     if (!inner) {
         return m_context.reject(now, RejectReason::Malformed);
@@ -63,7 +63,7 @@
     if (value(relayed.service) == 0) {
         return dispatchTarget(now, relayed.caller, &relayed, *inner);
     }
-    m_requests.noteFreeSlots(now, relayed.relay.id, relayed.service, relayed.freeSlots);
+    m_requests.recordFreeSlots(now, relayed.relay.id, relayed.service, relayed.freeSlots);
     dispatchCaller(now, {relayed.service, relayed.caller, relayed.hops, relayed.relay}, *inner);
 }
 
@@ -117,9 +117,9 @@
     }
 }
 
-template class BalancerCore<OwnCounts>;
-template class BalancerCore<DealtTargets>;
-template class BalancerCore<DealtSlotsAlone>;
-template class BalancerCore<DealtSlots>;
+template class BalancerCore<OptimisticSlots>;
+template class BalancerCore<PartitionedTargets>;
+template class BalancerCore<PartitionedSlotsNoOffload>;
+template class BalancerCore<PartitionedSlots>;
 
 } // namespace Robinrail
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -47,7 +47,7 @@
     }
 
     // Puts a popped request back to the head of its caller's line, with the next turn.
-    void putBack(Caller caller, Item item)
+    void pushFront(Caller caller, Item item)
     {
         std::deque<Item> &line = m_lines[caller];
         if (!line.empty()) {
--- a/src/feed_engine.cpp
+++ b/src/feed_engine.cpp
@@ -40,7 +40,7 @@
 void FeedEngine::leaveSilentTarget(TimePoint now, FlowId id, Flow &flow)
 {
     if (Target *target = m_context.targets.find(flow.target); target != nullptr) {
-        noteSilence(*target);
+        recordNoAnswer(*target);
     }
     const TargetId silent = flow.target;
     detach(flow);
--- a/src/handover.cpp
+++ b/src/handover.cpp
@@ -61,7 +61,7 @@
 
 bool Handover::finished(TimePoint now) const
 {
-    return m_begun && m_emptySince && now - *m_emptySince >= FarewellTime;
+    return m_begun && m_emptySince && now - *m_emptySince >= HandoverGracePeriod;
 }
 
 bool Handover::chooseSuccessor()
--- a/src/handover.h
+++ b/src/handover.h
@@ -24,7 +24,7 @@
 inline constexpr Duration HandoverRetry = std::chrono::milliseconds(200);
 
 // The stopped balancer stays this long after the last flow went, to answer what is asked again.
-inline constexpr Duration FarewellTime = std::chrono::seconds(3);
+inline constexpr Duration HandoverGracePeriod = std::chrono::seconds(3);
 
 class Handover
 {
--- a/src/offload_windows.cpp
+++ b/src/offload_windows.cpp
@@ -8,15 +8,15 @@
 
 namespace Robinrail {
 
-bool OffloadWindows::firstTime(TimePoint now, const AttemptKey &attempt)
+bool OffloadDeduplicator::recordIfNew(TimePoint now, const AttemptKey &attempt)
 {
     Window &window = m_windows[hashPair(value(attempt.owner.id), value(attempt.owner.incarnation))];
     if (attempt.serial <= window.floor || !window.seen.emplace(attempt.serial, now).second) {
         return false;
     }
-    if (window.seen.size() > OffloadPruneSize) {
+    if (window.seen.size() > OffloadPruneThreshold) {
         std::erase_if(window.seen, [&window, now](const auto &entry) {
-            const bool old = now - entry.second >= OffloadMemory;
+            const bool old = now - entry.second >= OffloadRetention;
             window.floor = old ? std::max(window.floor, entry.first) : window.floor;
             return old;
         });
--- a/src/offload_windows.h
+++ b/src/offload_windows.h
@@ -9,16 +9,16 @@
 namespace Robinrail {
 
 // Attempts are remembered for this long, far above the longest deadline.
-inline constexpr Duration OffloadMemory = std::chrono::seconds(120);
+inline constexpr Duration OffloadRetention = std::chrono::seconds(120);
 
 // Attempts of one peer run above which the old ones are looked for.
-inline constexpr std::size_t OffloadPruneSize = 4096;
+inline constexpr std::size_t OffloadPruneThreshold = 4096;
 
-class OffloadWindows
+class OffloadDeduplicator
 {
 public:
     // Whether this attempt comes here for the first time.
-    bool firstTime(TimePoint now, const AttemptKey &attempt);
+    bool recordIfNew(TimePoint now, const AttemptKey &attempt);
 
 private:
     struct Window {
--- a/src/peer_table.cpp
+++ b/src/peer_table.cpp
@@ -55,7 +55,7 @@
     return joined ? HeartbeatEffect::Joined : HeartbeatEffect::Alive;
 }
 
-void PeerTable::noteAlive(TimePoint now, BalancerKey key)
+void PeerTable::recordAlive(TimePoint now, BalancerKey key)
 {
     Peer *peer = find(key.id);
     if (peer != nullptr && peer->incarnation == key.incarnation && peer->alive) {
@@ -67,7 +67,7 @@
 {
     std::vector<BalancerKey> gone;
     for (Peer &peer : m_peers) {
-        if (peer.alive && now - peer.lastHeard >= GoneAfter) {
+        if (peer.alive && now - peer.lastHeard >= PeerTimeout) {
             peer.alive = false;
             peer.freeSlots.clear();
             gone.push_back(peer.key());
--- a/src/peer_table.h
+++ b/src/peer_table.h
@@ -13,7 +13,7 @@
 inline constexpr Duration HeartbeatInterval = std::chrono::milliseconds(500);
 
 // Four heartbeats: with a tenth of the packets lost, a live peer is suspected once in 10,000 intervals.
-inline constexpr Duration GoneAfter = HeartbeatInterval * 4;
+inline constexpr Duration PeerTimeout = HeartbeatInterval * 4;
 
 // Most redirects that are followed from a stopped owner to the one that has its flows now.
 inline constexpr int MaxRedirects = 16;
@@ -61,7 +61,7 @@
     HeartbeatEffect heartbeat(TimePoint now, const Heartbeat &heartbeat);
 
     // A sign of life other than a heartbeat.
-    void noteAlive(TimePoint now, BalancerKey key);
+    void recordAlive(TimePoint now, BalancerKey key);
 
     // Marks silent peers as gone; answers their keys as they were.
     std::vector<BalancerKey> expire(TimePoint now);
--- a/src/request_attempts.cpp
+++ b/src/request_attempts.cpp
@@ -22,7 +22,7 @@
             continue; // Settled while it waited.
         }
         if (!place(now, *key, at->second, line)) {
-            line.queue.putBack(at->second.caller.address, *key);
+            line.queue.pushFront(at->second.caller.address, *key);
             return;
         }
     }
@@ -62,7 +62,7 @@
     attempt.started = now;
     attempt.holdsSlot = true;
     ++target.running;
-    target.lastUse = serial;
+    target.lastAttempt = serial;
     ++m_context.counters.attemptsSent;
     m_timers.push({now + std::max(MinSlotHold, line.usualTime() * SlotHoldFactor), TimerKind::SlotHold, serial, {}});
 }
@@ -79,7 +79,7 @@
 template<SlotPolicy Policy>
 bool RequestEngine<Policy>::offload(TimePoint now, RequestKey key, Pending &pending, ServiceLine &line)
 {
-    const bool mayProbe = pending.probes < MaxProbes && countShare(m_context.targets.targetsOf(pending.service), pending.service) == 0;
+    const bool mayProbe = pending.probes < MaxProbes && countAssignedSlots(m_context.targets.targetsOf(pending.service), pending.service) == 0;
     Peer *peer = choosePeer(pending.service, m_context.lastSerial, mayProbe);
     if (peer == nullptr) {
         return false;
@@ -127,7 +127,7 @@
 template<SlotPolicy Policy>
 void RequestEngine<Policy>::takeOffload(TimePoint now, Endpoint peer, const OffloadRequest &offload)
 {
-    if (offload.executor != m_context.peers.self() || !m_offloads.firstTime(now, offload.attempt)) {
+    if (offload.executor != m_context.peers.self() || !m_offloads.recordIfNew(now, offload.attempt)) {
         return;
     }
     ServiceLine *line = lineOf(offload.service);
@@ -159,7 +159,7 @@
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::noteFreeSlots(TimePoint now, BalancerId peer, ServiceId service, std::uint16_t freeSlots)
+void RequestEngine<Policy>::recordFreeSlots(TimePoint now, BalancerId peer, ServiceId service, std::uint16_t freeSlots)
 {
     if (Peer *known = m_context.peers.find(peer); known != nullptr) {
         known->freeSlots[value(service)] = freeSlots;
@@ -200,7 +200,7 @@
 {
     ServiceLine *line = lineOf(attempt.service);
     if (Target *target = m_context.targets.find(attempt.target); target != nullptr) {
-        noteAnswer(*target);
+        recordAnswer(*target);
     }
     releaseSlot(attempt);
     if (attempt.kind != AttemptKind::Hosted) {
@@ -249,7 +249,7 @@
     releaseSlot(attempt);
     if (Target *target = m_context.targets.find(attempt.target); target != nullptr && attempt.kind != AttemptKind::Offloaded) {
         ++m_context.counters.attemptsRefused;
-        noteRefusal(*target, now);
+        recordRefusal(*target, now);
     }
     if (attempt.kind == AttemptKind::Hosted) {
         m_context.send(attempt.originEndpoint, RunRefused{attempt.origin});
@@ -260,9 +260,9 @@
     --pending->second.unresolvedAttempts;
     pending->second.attempt = 0;
     if (attempt.kind == AttemptKind::Offloaded) {
-        noteFreeSlots(now, attempt.executor.id, attempt.service, 0);
+        recordFreeSlots(now, attempt.executor.id, attempt.service, 0);
         if (ServiceLine *line = lineOf(attempt.service); line != nullptr) {
-            line->queue.putBack(pending->second.caller.address, attempt.request);
+            line->queue.pushFront(pending->second.caller.address, attempt.request);
             pump(now, *line);
         }
         return;
@@ -288,13 +288,13 @@
     }
     ++m_context.counters.retries;
     m_context.observe({.kind = EventKind::RequestRetried, .at = now, .service = pending.service, .flow = key.flow, .request = key.request});
-    line->queue.putBack(pending.caller.address, key);
+    line->queue.pushFront(pending.caller.address, key);
     pump(now, *line);
 }
 
-template class RequestEngine<OwnCounts>;
-template class RequestEngine<DealtTargets>;
-template class RequestEngine<DealtSlotsAlone>;
-template class RequestEngine<DealtSlots>;
+template class RequestEngine<OptimisticSlots>;
+template class RequestEngine<PartitionedTargets>;
+template class RequestEngine<PartitionedSlotsNoOffload>;
+template class RequestEngine<PartitionedSlots>;
 
 } // namespace Robinrail
--- a/src/request_engine.cpp
+++ b/src/request_engine.cpp
@@ -86,7 +86,7 @@
     if (line == nullptr || !anyServing(m_context.targets.targetsOf(flow->service), flow->service)) {
         return giveUp(now, key, RefusalReason::NoTarget, NoTargetRetryAfter);
     }
-    line->budget.noteRequest();
+    line->budget.recordRequest();
     m_timers.push({pending.deadline, TimerKind::RequestDeadline, 0, key});
     queueOrShed(now, key, pending, *line);
 }
@@ -113,7 +113,7 @@
 Duration RequestEngine<Policy>::estimateWait(TimePoint now, const ServiceLine &line) const
 {
     const std::span<const Target> targets = m_context.targets.targetsOf(line.settings.id);
-    std::uint32_t share = std::max(1U, countShare(targets, line.settings.id));
+    std::uint32_t share = std::max(1U, countAssignedSlots(targets, line.settings.id));
     if (Policy::OffloadsToPeers) {
         // What waits here may run at any balancer, so a small own share alone does not mean a long wait.
         share = std::max(share, countUsableSlots(targets, line.settings.id, now) / m_memberCount);
@@ -314,7 +314,7 @@
 void RequestEngine<Policy>::renewProbes()
 {
     for (auto &[key, pending] : m_pending) {
-        if (pending.attempt == 0 && countShare(m_context.targets.targetsOf(pending.service), pending.service) == 0) {
+        if (pending.attempt == 0 && countAssignedSlots(m_context.targets.targetsOf(pending.service), pending.service) == 0) {
             pending.probes = 0;
         }
     }
@@ -354,7 +354,7 @@
         return;
     }
     if (Target *target = m_context.targets.find(at->second.target); target != nullptr) {
-        noteSilence(*target);
+        recordNoAnswer(*target);
     }
     releaseSlot(at->second);
     if (ServiceLine *line = lineOf(at->second.service); line != nullptr) {
@@ -366,7 +366,7 @@
 void RequestEngine<Policy>::deal(TimePoint now)
 {
     const bool changed = m_dealtTargets != m_context.targets.version() || m_dealtPeers != m_context.peers.version();
-    if (!changed && now > m_warmUntil && !std::is_same_v<Policy, OwnCounts>) {
+    if (!changed && now > m_warmUntil && !std::is_same_v<Policy, OptimisticSlots>) {
         return;
     }
     m_dealtTargets = m_context.targets.version();
@@ -415,9 +415,9 @@
     return line != m_lines.end() ? &line->second : nullptr;
 }
 
-template class RequestEngine<OwnCounts>;
-template class RequestEngine<DealtTargets>;
-template class RequestEngine<DealtSlotsAlone>;
-template class RequestEngine<DealtSlots>;
+template class RequestEngine<OptimisticSlots>;
+template class RequestEngine<PartitionedTargets>;
+template class RequestEngine<PartitionedSlotsNoOffload>;
+template class RequestEngine<PartitionedSlots>;
 
 } // namespace Robinrail
--- a/src/request_engine.h
+++ b/src/request_engine.h
@@ -71,7 +71,7 @@
     void takeOffload(TimePoint now, Endpoint peer, const OffloadRequest &offload);
     void cancelHosted(const CancelRun &cancel);
 
-    void noteFreeSlots(TimePoint now, BalancerId peer, ServiceId service, std::uint16_t freeSlots);
+    void recordFreeSlots(TimePoint now, BalancerId peer, ServiceId service, std::uint16_t freeSlots);
     void peerGone(TimePoint now, BalancerKey peer);
     void targetLost(TimePoint now, TargetId target);
 
@@ -177,9 +177,9 @@
     std::unordered_map<std::uint16_t, ServiceLine> m_lines; // By service.
     std::unordered_map<RequestKey, Pending, RequestKeyHash> m_pending;
     std::unordered_map<std::uint64_t, Attempt> m_attempts;
-    OffloadWindows m_offloads;
+    OffloadDeduplicator m_offloads;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> m_timers;
-    SettledAnswers m_settled;
+    AnswerCache m_settled;
     std::uint64_t m_dealtTargets = 0;
     std::uint64_t m_dealtPeers = 0;
     TimePoint m_warmUntil;
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -19,7 +19,7 @@
     {
     }
 
-    void noteRequest()
+    void recordRequest()
     {
         m_tokens = std::min(m_burst, m_tokens + m_ratio);
     }
--- a/src/settled_answers.cpp
+++ b/src/settled_answers.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void SettledAnswers::remember(TimePoint now, RequestKey key, std::vector<Message> messages)
+void AnswerCache::remember(TimePoint now, RequestKey key, std::vector<Message> messages)
 {
     const std::size_t bytes = bodyBytes(messages);
     if (!m_messages.emplace(key, std::move(messages)).second) {
@@ -31,25 +31,25 @@
     }
 }
 
-std::span<const Message> SettledAnswers::find(RequestKey key) const
+std::span<const Message> AnswerCache::find(RequestKey key) const
 {
     const auto at = m_messages.find(key);
     return at != m_messages.end() ? std::span<const Message>(at->second) : std::span<const Message>();
 }
 
-void SettledAnswers::expire(TimePoint now)
+void AnswerCache::expire(TimePoint now)
 {
     while (!m_order.empty() && now - m_order.front().settled >= AnswerCacheTime) {
         dropOldest();
     }
 }
 
-std::size_t SettledAnswers::size() const
+std::size_t AnswerCache::size() const
 {
     return m_order.size();
 }
 
-void SettledAnswers::dropOldest()
+void AnswerCache::dropOldest()
 {
     m_messages.erase(m_order.front().key);
     m_bytes -= m_order.front().bytes;
--- a/src/settled_answers.h
+++ b/src/settled_answers.h
@@ -34,7 +34,7 @@
 };
 
 // Keeps the final messages of settled requests for a while, bounded in time and bytes.
-class SettledAnswers
+class AnswerCache
 {
 public:
     void remember(TimePoint now, RequestKey key, std::vector<Message> messages);
--- a/src/slot_policy.cpp
+++ b/src/slot_policy.cpp
@@ -59,7 +59,7 @@
 
 } // namespace
 
-void OwnCounts::deal(std::span<Target *const> targets, std::span<const PeerTable::Member>, BalancerId, TimePoint now)
+void OptimisticSlots::deal(std::span<Target *const> targets, std::span<const PeerTable::Member>, BalancerId, TimePoint now)
 {
     for (Target *target : targets) {
         const std::uint16_t usable = usableSlots(*target, now);
@@ -68,7 +68,7 @@
     }
 }
 
-void DealtTargets::deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now)
+void PartitionedTargets::deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now)
 {
     const auto oneCard = [](const Target &) {
         return std::uint16_t{1};
@@ -78,12 +78,12 @@
     });
 }
 
-void DealtSlotsAlone::deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now)
+void PartitionedSlotsNoOffload::deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now)
 {
     dealSlots(targets, members, self, now);
 }
 
-void DealtSlots::deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now)
+void PartitionedSlots::deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now)
 {
     dealSlots(targets, members, self, now);
 }
--- a/src/slot_policy.h
+++ b/src/slot_policy.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Slot policies: three ways to share the slots of a host among balancers that cannot talk for each
-// request. docs/DECISIONS.md compares them; the daemons use DealtSlots with offload.
+// request. docs/DECISIONS.md compares them; the daemons use PartitionedSlots with offload.
 #pragma once
 
 #include "peer_table.h"
@@ -24,25 +24,25 @@
 
 // Every balancer fills any free slot that it knows of: the target's slots less its own attempts, less
 // what the target last reported of others. Reports lag, so targets refuse the surplus.
-struct OwnCounts {
+struct OptimisticSlots {
     static constexpr bool OffloadsToPeers = false;
     static void deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
 
 // Each target belongs to one balancer, which alone fills its slots.
-struct DealtTargets {
+struct PartitionedTargets {
     static constexpr bool OffloadsToPeers = true;
     static void deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
 
 // Each single slot belongs to one balancer; nothing is moved between balancers.
-struct DealtSlotsAlone {
+struct PartitionedSlotsNoOffload {
     static constexpr bool OffloadsToPeers = false;
     static void deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
 
 // Each single slot belongs to one balancer, and a balancer without a free one asks a peer that has.
-struct DealtSlots {
+struct PartitionedSlots {
     static constexpr bool OffloadsToPeers = true;
     static void deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
--- a/src/target_choice.cpp
+++ b/src/target_choice.cpp
@@ -21,7 +21,7 @@
 
 bool hasFreeSlot(const Target &target, ServiceId service, TimePoint now)
 {
-    return serves(target, service) && target.running < target.share && acceptsWork(target, now);
+    return serves(target, service) && target.running < target.share && acceptsAttempt(target, now);
 }
 
 // Fill of a target as a fraction of the whole host, so that hosts fill evenly also with uneven shares.
@@ -51,7 +51,7 @@
         const double weight = usableSlots(target, now);
         const double bound = std::ceil(LoadBound * totalFeeds * weight / totalWeight);
         const std::size_t connectionShare = target.announcement.connections / std::max<std::size_t>(1, members);
-        const bool answers = target.id() != avoid && target.silentAttempts < SilentAttemptLimit;
+        const bool answers = target.id() != avoid && target.unansweredAttempts < UnansweredAttemptLimit;
         const std::pair rank(answers, rendezvousScore(value(flow), value(target.id()), weight));
         if (target.feeds < bound && target.feeds < connectionShare && (best == nullptr || rank > bestRank)) {
             best = &target;
@@ -69,7 +69,7 @@
         if (avoided || !hasFreeSlot(target, service, now)) {
             continue;
         }
-        if (best == nullptr || std::pair(fill(target), target.lastUse) < std::pair(fill(*best), best->lastUse)) {
+        if (best == nullptr || std::pair(fill(target), target.lastAttempt) < std::pair(fill(*best), best->lastAttempt)) {
             best = &target;
         }
     }
@@ -87,7 +87,7 @@
     return free;
 }
 
-std::uint32_t countShare(std::span<const Target> targets, ServiceId service)
+std::uint32_t countAssignedSlots(std::span<const Target> targets, ServiceId service)
 {
     std::uint32_t share = 0;
     for (const Target &target : targets) {
--- a/src/target_choice.h
+++ b/src/target_choice.h
@@ -24,7 +24,7 @@
 std::uint32_t countFreeSlots(std::span<const Target> targets, ServiceId service, TimePoint now);
 
 // All slots of this balancer's share over the targets of the service.
-std::uint32_t countShare(std::span<const Target> targets, ServiceId service);
+std::uint32_t countAssignedSlots(std::span<const Target> targets, ServiceId service);
 
 // Slots of all serving targets of the service, whoever's share they are in.
 std::uint32_t countUsableSlots(std::span<const Target> targets, ServiceId service, TimePoint now);
--- a/src/target_table.cpp
+++ b/src/target_table.cpp
@@ -67,9 +67,9 @@
     const TargetState before = target.state;
     if (!sameRun) {
         target.firstHeard = now - knownFor;
-        target.pausedUntil = now;
-        target.refusalPause = RefusalPause;
-        target.silentAttempts = 0;
+        target.backoffUntil = now;
+        target.refusalBackoff = RefusalBackoff;
+        target.unansweredAttempts = 0;
     }
     target.announcement = announcement;
     target.announcement.draining = announcement.draining || wasDraining;
@@ -187,27 +187,27 @@
     return std::max<std::uint16_t>(1, grown);
 }
 
-bool acceptsWork(const Target &target, TimePoint now)
+bool acceptsAttempt(const Target &target, TimePoint now)
 {
-    const bool probing = target.silentAttempts >= SilentAttemptLimit && target.running > 0;
-    return target.state == TargetState::Serving && now >= target.pausedUntil && !probing;
+    const bool probing = target.unansweredAttempts >= UnansweredAttemptLimit && target.running > 0;
+    return target.state == TargetState::Serving && now >= target.backoffUntil && !probing;
 }
 
-void noteRefusal(Target &target, TimePoint now)
+void recordRefusal(Target &target, TimePoint now)
 {
-    target.pausedUntil = now + target.refusalPause;
-    target.refusalPause = std::min(target.refusalPause * 2, MaxRefusalPause);
+    target.backoffUntil = now + target.refusalBackoff;
+    target.refusalBackoff = std::min(target.refusalBackoff * 2, MaxRefusalBackoff);
 }
 
-void noteAnswer(Target &target)
+void recordAnswer(Target &target)
 {
-    target.silentAttempts = 0;
-    target.refusalPause = RefusalPause;
+    target.unansweredAttempts = 0;
+    target.refusalBackoff = RefusalBackoff;
 }
 
-void noteSilence(Target &target)
+void recordNoAnswer(Target &target)
 {
-    ++target.silentAttempts;
+    ++target.unansweredAttempts;
 }
 
 } // namespace Robinrail
--- a/src/target_table.h
+++ b/src/target_table.h
@@ -20,11 +20,11 @@
 
 // After a refusal the target gets nothing for this long, doubled with each refusal in a row up to the
 // maximum; a report of free slots is not believed against refusals that were seen.
-inline constexpr Duration RefusalPause = std::chrono::milliseconds(20);
-inline constexpr Duration MaxRefusalPause = std::chrono::milliseconds(640);
+inline constexpr Duration RefusalBackoff = std::chrono::milliseconds(20);
+inline constexpr Duration MaxRefusalBackoff = std::chrono::milliseconds(640);
 
 // This many attempts without any answer in a row mark a target as silent: it then gets one attempt at a time.
-inline constexpr int SilentAttemptLimit = 3;
+inline constexpr int UnansweredAttemptLimit = 3;
 
 enum class TargetState : std::uint8_t {
     Serving,
@@ -38,10 +38,10 @@
     TargetState state = TargetState::Serving;
     TimePoint firstHeard;
     TimePoint lastHeard;
-    TimePoint pausedUntil;
-    Duration refusalPause = RefusalPause;
-    int silentAttempts = 0;
-    std::uint64_t lastUse = 0; // Serial of the newest attempt; the least recently used target goes first.
+    TimePoint backoffUntil;
+    Duration refusalBackoff = RefusalBackoff;
+    int unansweredAttempts = 0;
+    std::uint64_t lastAttempt = 0; // Serial of the newest attempt; the least recently used target goes first.
     std::uint16_t share = 0; // Slots dealt to this balancer.
     std::uint16_t running = 0; // Attempts of this balancer.
     std::uint32_t feeds = 0; // Feeds attached by this balancer.
@@ -104,11 +104,11 @@
 std::uint16_t usableSlots(const Target &target, TimePoint now);
 
 // Whether a new attempt may go to the target now, leaving slot counts aside.
-bool acceptsWork(const Target &target, TimePoint now);
+bool acceptsAttempt(const Target &target, TimePoint now);
 
 // Notes that the target refused an attempt, or that it answered, or that an attempt ended in silence.
-void noteRefusal(Target &target, TimePoint now);
-void noteAnswer(Target &target);
-void noteSilence(Target &target);
+void recordRefusal(Target &target, TimePoint now);
+void recordAnswer(Target &target);
+void recordNoAnswer(Target &target);
 
 } // namespace Robinrail
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -54,8 +54,8 @@
     'if (flow.target == target || flow.attachment == 0) {' '*every target is replaced*,*goes on at another target*'
 mutate "no moving forward of feeds" src/feed_engine.cpp 'if (acknowledged >= flow.nextSequence) {' \
     'if (acknowledged > flow.nextSequence + 1000000) {' '*every balancer is stopped*,*freezes and returns*'
-mutate "no adoption from a stopping owner" src/balancer_core.cpp 'if (onOwnerStopping(now, packet, *id, message)) {' \
-    'if (false && onOwnerStopping(now, packet, *id, message)) {' '*every balancer is stopped*'
+mutate "no adoption from a stopping owner" src/balancer_core.cpp 'if (adoptFromStoppingOwner(now, packet, *id, message)) {' \
+    'if (false && adoptFromStoppingOwner(now, packet, *id, message)) {' '*every balancer is stopped*'
 mutate "no fence at the handover" src/handover.cpp \
     'return sent != m_sent.end() ? std::optional(sent->second.to) : std::nullopt;' \
     'return sent == m_sent.end() ? std::optional(BalancerKey{}) : std::nullopt;' '*stopping balancer hands*'
--- a/tests/test_balancer.cpp
+++ b/tests/test_balancer.cpp
@@ -98,7 +98,7 @@
 
     TimePoint now{seconds(1000)};
     Duration timeLeft = seconds(5); // Of requests that are made from now on.
-    BalancerCore<DealtSlots> core;
+    BalancerCore<PartitionedSlots> core;
 
 private:
     std::vector<Message> m_seen;
--- a/tests/test_connection_id.cpp
+++ b/tests/test_connection_id.cpp
@@ -38,7 +38,7 @@
     BalancerSettings settings;
     settings.self = {BalancerId{3}, Incarnation{1}};
     settings.connectionIdKeys = {NewKey, OldKey};
-    const BalancerCore<DealtSlots> core(settings);
+    const BalancerCore<PartitionedSlots> core(settings);
     const ConnectionIdSealer sealer({NewKey});
     const ConnectionIdSealer revoked({VersionedMacKey{3, {7, 8, 9}}});
     pcg64 random(42);
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -113,19 +113,19 @@
     TargetTable table;
     table.announce(Start, announcementOf(1, 1, 1));
     Target &target = *table.find(TargetId{1});
-    noteRefusal(target, Start);
-    CHECK_FALSE(acceptsWork(target, Start));
-    CHECK(acceptsWork(target, Start + RefusalPause));
-    noteRefusal(target, Start);
-    CHECK_FALSE(acceptsWork(target, Start + RefusalPause));
-    noteAnswer(target);
-    for (int i = 0; i < SilentAttemptLimit; ++i) {
-        noteSilence(target);
+    recordRefusal(target, Start);
+    CHECK_FALSE(acceptsAttempt(target, Start));
+    CHECK(acceptsAttempt(target, Start + RefusalBackoff));
+    recordRefusal(target, Start);
+    CHECK_FALSE(acceptsAttempt(target, Start + RefusalBackoff));
+    recordAnswer(target);
+    for (int i = 0; i < UnansweredAttemptLimit; ++i) {
+        recordNoAnswer(target);
     }
     target.running = 1;
-    CHECK_FALSE(acceptsWork(target, Start + seconds(1)));
+    CHECK_FALSE(acceptsAttempt(target, Start + seconds(1)));
     target.running = 0;
-    CHECK(acceptsWork(target, Start + seconds(1)));
+    CHECK(acceptsAttempt(target, Start + seconds(1)));
 }
 
 TEST_CASE("peers are alive, suspected, back, and replaced by a new run")
@@ -138,13 +138,13 @@
     CHECK(peers.heartbeat(Start, heartbeatOf(2, 4, 1)) == HeartbeatEffect::Stale);
     CHECK(peers.heartbeat(Start, heartbeatOf(9, 4, 1)) == HeartbeatEffect::Stale);
     CHECK(peers.resolve(second) == second);
-    CHECK(peers.expire(Start + GoneAfter).size() == 1);
+    CHECK(peers.expire(Start + PeerTimeout).size() == 1);
     CHECK_FALSE(peers.resolve(second));
-    CHECK(peers.heartbeat(Start + GoneAfter, heartbeatOf(2, 4, 2)) == HeartbeatEffect::Joined);
+    CHECK(peers.heartbeat(Start + PeerTimeout, heartbeatOf(2, 4, 2)) == HeartbeatEffect::Joined);
     CHECK(peers.resolve(second) == second);
-    CHECK(peers.heartbeat(Start + GoneAfter, heartbeatOf(2, 5, 1)) == HeartbeatEffect::Joined);
+    CHECK(peers.heartbeat(Start + PeerTimeout, heartbeatOf(2, 5, 1)) == HeartbeatEffect::Joined);
     CHECK_FALSE(peers.resolve(second));
-    CHECK(peers.heartbeat(Start + GoneAfter, heartbeatOf(2, 4, 9)) == HeartbeatEffect::Stale);
+    CHECK(peers.heartbeat(Start + PeerTimeout, heartbeatOf(2, 4, 9)) == HeartbeatEffect::Stale);
 }
 
 TEST_CASE("redirects are followed from stopped owner to stopped owner, and end in a loop")
@@ -181,7 +181,7 @@
         for (std::uint16_t id = 1; id <= 8; ++id) {
             members.push_back({BalancerId{id}, DataCentreId{static_cast<std::uint8_t>((id - 1) % 3 + 1)}});
         }
-        DealtSlots::deal(targets, members, BalancerId{self}, Start);
+        PartitionedSlots::deal(targets, members, BalancerId{self}, Start);
         int own = 0;
         for (const Target *target : targets) {
             dealt[value(target->id())] += target->share;
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -71,7 +71,7 @@
     CHECK_FALSE(queue.evictFor(1));
     CHECK(queue.pop() == 0);
     CHECK(queue.pop() == 100);
-    queue.putBack(2, 100);
+    queue.pushFront(2, 100);
     CHECK(queue.pop() == 100);
     CHECK(queue.pop() == 1);
     CHECK(queue.size() == 2);
@@ -82,7 +82,7 @@
     RetryBudget budget(0.1, 5);
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
-        budget.noteRequest();
+        budget.recordRequest();
         retries += budget.take() ? 1 : 0;
     }
     CHECK(retries <= 105);
@@ -91,7 +91,7 @@
 
 TEST_CASE("settled answers are given again for a while")
 {
-    SettledAnswers settled;
+    AnswerCache settled;
     const TimePoint start{std::chrono::seconds(100)};
     const RequestKey key{FlowId{1}, RequestId{2}};
     settled.remember(start, key, {Refusal{}});
--- a/tests/test_proofs.cpp
+++ b/tests/test_proofs.cpp
@@ -37,7 +37,7 @@
         CAPTURE(seed);
         SimulationOptions options = optionsFor(seed);
         prepare(options);
-        const SimulationResult result = Simulation<DealtSlots>(options).run();
+        const SimulationResult result = Simulation<PartitionedSlots>(options).run();
         checkPromises(result);
         check(result);
     }
@@ -126,7 +126,7 @@
 {
     SimulationOptions options = optionsFor(1);
     options.faults = {{seconds(2), FaultKind::KillBalancer, 2}, {seconds(8), FaultKind::StartBalancer, 2}};
-    Simulation<DealtSlots> simulation(options);
+    Simulation<PartitionedSlots> simulation(options);
     checkPromises(simulation.run());
     const std::span<const Target> joined = std::as_const(simulation.balancer(2).context().targets).targets();
     const std::span<const Target> old = std::as_const(simulation.balancer(1).context().targets).targets();
@@ -153,5 +153,5 @@
     SimulationOptions options = optionsFor(1);
     options.duration = seconds(10);
     loseDoubleAndDelay(options);
-    CHECK(Simulation<DealtSlots>(options).run().signature() == Simulation<DealtSlots>(options).run().signature());
+    CHECK(Simulation<PartitionedSlots>(options).run().signature() == Simulation<PartitionedSlots>(options).run().signature());
 }
