--- a/src/answer_assembly.h
+++ b/src/answer_assembly.h
@@ -10,7 +10,7 @@
 
 // What a part did.
 enum class PartEffect : std::uint8_t {
-    Taken,
+    Accepted,
     Completed,
     Ignored, // A duplicate, or it contradicts an earlier part.
 };
@@ -35,7 +35,7 @@
         m_present |= bit;
         m_parts[index] = std::move(body);
         ++m_received;
-        return m_received == m_count ? PartEffect::Completed : PartEffect::Taken;
+        return m_received == m_count ? PartEffect::Completed : PartEffect::Accepted;
     }
 
     // All parts in order; meaningful once completed.
--- a/src/balancer_context.h
+++ b/src/balancer_context.h
@@ -99,7 +99,7 @@
     }
 
     // The sealed id of a flow that this balancer owns.
-    SealedConnectionId sealFor(FlowId id, const Flow &flow) const
+    SealedConnectionId sealConnectionId(FlowId id, const Flow &flow) const
     {
         return sealer.seal({flow.service, flow.target, peers.self(), id});
     }
--- a/src/balancer_core.cpp
+++ b/src/balancer_core.cpp
@@ -87,7 +87,7 @@
         return;
     }
     ++m_context.counters.flowsOpened;
-    m_context.send(packet.caller, FlowOpened{message.nonce, id, m_context.sealFor(id, *flow)});
+    m_context.send(packet.caller, FlowOpened{message.nonce, id, m_context.sealConnectionId(id, *flow)});
     m_context.observe({.kind = EventKind::FlowOpened, .at = now, .service = packet.service, .flow = id});
 }
 
@@ -106,7 +106,7 @@
 }
 
 template<SlotPolicy Policy>
-std::optional<ConnectionId> BalancerCore<Policy>::openId(TimePoint now, ServiceId service, const SealedConnectionId &sealed)
+std::optional<ConnectionId> BalancerCore<Policy>::authenticateId(TimePoint now, ServiceId service, const SealedConnectionId &sealed)
 {
     const std::optional<ConnectionId> id = m_context.sealer.open(sealed);
     if (!id) {
@@ -134,12 +134,12 @@
 template<typename Typed>
 void BalancerCore<Policy>::onFlow(TimePoint now, const CallerPacket &packet, const Typed &message)
 {
-    const std::optional<ConnectionId> id = openId(now, packet.service, message.connectionId);
+    const std::optional<ConnectionId> id = authenticateId(now, packet.service, message.connectionId);
     if (!id) {
         return;
     }
-    if (const std::optional<BalancerKey> went = m_handover.destination(id->flow)) {
-        return onHandedOver(now, packet, *id, *went, message);
+    if (const std::optional<BalancerKey> destination = m_handover.destination(id->flow)) {
+        return onFlowHandedOver(now, packet, *id, *destination, message);
     }
     if (Flow *flow = m_context.flows.find(id->flow); flow != nullptr && flow->service == packet.service) {
         flow->lastActive = CoarseTime(now);
@@ -148,7 +148,7 @@
     }
     const std::optional<BalancerKey> owner = m_context.peers.resolve(id->owner);
     if (!owner || *owner == m_context.peers.self()) {
-        return onOwnerGone(now, packet, *id, message);
+        return onOwnerLost(now, packet, *id, message);
     }
     if (adoptFromStoppingOwner(now, packet, *id, message)) {
         return;
@@ -161,7 +161,7 @@
 {
     const auto previous = m_previousOwners.find(value(id.flow));
     const bool received = previous != m_previousOwners.end() && packet.relay != previous->second.owner;
-    if (received && flow.window.look(request.request) != RequestAge::Fresh && !m_requests.isPending({id.flow, request.request})) {
+    if (received && flow.window.lookUp(request.request) != RequestAge::Fresh && !m_requests.isPending({id.flow, request.request})) {
         // The previous owner may hold the answer; it stays a while for this.
         if (m_context.peers.find(previous->second.owner.id) != nullptr && !m_requests.resend({id.flow, request.request}, packet.caller)) {
             relay(now, packet, previous->second.owner, request);
@@ -196,7 +196,7 @@
 
 // The flow is fenced off here. Only what was settled before is still answered; the rest goes after the flow.
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::onHandedOver(TimePoint now, const CallerPacket &packet, const ConnectionId &id, BalancerKey to, const Message &message)
+void BalancerCore<Policy>::onFlowHandedOver(TimePoint now, const CallerPacket &packet, const ConnectionId &id, BalancerKey to, const Message &message)
 {
     const auto *request = std::get_if<Request>(&message);
     if (request != nullptr && m_requests.resend({id.flow, request->request}, packet.caller)) {
@@ -204,7 +204,7 @@
     }
     if (packet.relay == to) {
         if (request != nullptr) {
-            m_requests.refuseUncertain(id.flow, packet.caller, request->request, RefusalReason::ForgottenFlow);
+            m_requests.refuseOutcomeUnknown(id.flow, packet.caller, request->request, RefusalReason::ForgottenFlow);
         }
         return;
     }
@@ -214,7 +214,7 @@
 // The owner named in the id is gone, or has forgotten the flow. The request may have run there, so it is
 // not run here and never called "not run"; a caller that may repeat it asks again under the new id.
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::onOwnerGone(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message)
+void BalancerCore<Policy>::onOwnerLost(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message)
 {
     const std::optional<BalancerKey> other = m_context.peers.stopping() ? m_context.peers.chooseSuccessor() : std::nullopt;
     if (other) {
@@ -223,7 +223,7 @@
     const FlowId flowId = adopt(now, packet, id);
     Flow *flow = m_context.flows.find(flowId);
     if (const auto *request = std::get_if<Request>(&message)) {
-        m_requests.refuseUncertain(id.flow, packet.caller, request->request, RefusalReason::OwnerGone);
+        m_requests.refuseOutcomeUnknown(id.flow, packet.caller, request->request, RefusalReason::OwnerGone);
     } else if (const auto *poll = std::get_if<PollFeed>(&message); poll != nullptr && flow != nullptr) {
         m_feeds.poll(now, flowId, *flow, poll->acknowledged);
     }
@@ -270,7 +270,7 @@
 void BalancerCore<Policy>::sendMoved(const CallerPacket &packet, FlowId previous, FlowId id)
 {
     if (const Flow *flow = m_context.flows.find(id); flow != nullptr) {
-        m_context.send(packet.caller, FlowMoved{previous, id, m_context.sealFor(id, *flow)});
+        m_context.send(packet.caller, FlowMoved{previous, id, m_context.sealConnectionId(id, *flow)});
     }
 }
 
@@ -286,21 +286,21 @@
 void BalancerCore<Policy>::dispatchTarget(TimePoint now, Endpoint target, const RelayedPacket *relayed, const Message &message)
 {
     if (const auto *announcement = std::get_if<Announcement>(&message)) {
-        targetChanged(now, announcement->target, m_gossip.announce(now, *announcement));
+        onTargetChanged(now, announcement->target, m_gossip.announce(now, *announcement));
     } else if (const auto *part = std::get_if<RunPart>(&message)) {
-        if (ownAttempt(now, target, relayed, part->attempt, *part)) {
-            m_requests.takePart(now, *part);
+        if (isOwnAttemptOrRelay(now, target, relayed, part->attempt, *part)) {
+            m_requests.handleRunPart(now, *part);
         }
     } else if (const auto *refused = std::get_if<RunRefused>(&message)) {
-        if (ownAttempt(now, target, relayed, refused->attempt, *refused)) {
-            m_requests.takeRefusal(now, *refused);
+        if (isOwnAttemptOrRelay(now, target, relayed, refused->attempt, *refused)) {
+            m_requests.handleRunRefused(now, *refused);
         }
     } else if (const auto *push = std::get_if<FeedPush>(&message)) {
-        if (ownAttempt(now, target, relayed, push->attachment, *push)) {
+        if (isOwnAttemptOrRelay(now, target, relayed, push->attachment, *push)) {
             m_feeds.push(now, target, *push);
         }
     } else if (const auto *attached = std::get_if<FeedAttached>(&message)) {
-        if (ownAttempt(now, target, relayed, attached->attachment, *attached)) {
+        if (isOwnAttemptOrRelay(now, target, relayed, attached->attachment, *attached)) {
             m_feeds.attached(target, *attached);
         }
     } else {
@@ -311,7 +311,7 @@
 // Whether the attempt is of this run of this balancer; passes the packet on to its maker if not.
 template<SlotPolicy Policy>
 template<typename Typed>
-bool BalancerCore<Policy>::ownAttempt(TimePoint now, Endpoint target, const RelayedPacket *relayed, const AttemptKey &attempt, const Typed &message)
+bool BalancerCore<Policy>::isOwnAttemptOrRelay(TimePoint now, Endpoint target, const RelayedPacket *relayed, const AttemptKey &attempt, const Typed &message)
 {
     if (attempt.owner == m_context.peers.self()) {
         return true;
@@ -342,7 +342,7 @@
 // ---- Change and time ----
 
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::targetChanged(TimePoint now, TargetId target, AnnouncementEffect effect)
+void BalancerCore<Policy>::onTargetChanged(TimePoint now, TargetId target, AnnouncementEffect effect)
 {
     if (effect == AnnouncementEffect::Drained) {
         m_feeds.rebindFrom(now, target);
@@ -355,13 +355,13 @@
 template<SlotPolicy Policy>
 void BalancerCore<Policy>::tick(TimePoint now)
 {
-    if (!m_startedKnown) {
+    if (!m_hasStarted) {
         m_started = now;
-        m_startedKnown = true;
+        m_hasStarted = true;
     }
     m_now = now;
     for (const BalancerKey &gone : m_context.peers.expire(now)) {
-        m_requests.peerGone(now, gone);
+        m_requests.onPeerLost(now, gone);
         m_context.observe({.kind = EventKind::PeerGone, .at = now, .peer = gone.id});
     }
     expireTargets(now);
@@ -392,7 +392,7 @@
             continue;
         }
         m_context.observe({.kind = EventKind::TargetLost, .at = now, .target = id});
-        m_requests.targetLost(now, id);
+        m_requests.onTargetLost(now, id);
         m_feeds.rebindFrom(now, id);
     }
 }
@@ -405,7 +405,7 @@
         if (flow.attachment != 0 && flow.lastActive.elapsed(now) >= FeedIdleTime) {
             m_feeds.detach(flow);
         }
-        if (flow.busy == 0 && flow.lastActive.elapsed(now) >= FlowIdleTime) {
+        if (flow.activeRequests == 0 && flow.lastActive.elapsed(now) >= FlowIdleTime) {
             expired.push_back(id);
         }
     });
@@ -436,7 +436,7 @@
 template<SlotPolicy Policy>
 bool BalancerCore<Policy>::ready() const
 {
-    const bool heard = m_sawPeer || (m_startedKnown && m_now - m_started >= NoPeerReadyDelay);
+    const bool heard = m_heardPeer || (m_hasStarted && m_now - m_started >= NoPeerReadyDelay);
     return heard && m_context.bundleVersion > 0 && !m_context.peers.stopping();
 }
 
--- a/src/balancer_core.h
+++ b/src/balancer_core.h
@@ -78,21 +78,21 @@
         FlowId flow{};
         TimePoint at;
     };
-    struct Previous {
+    struct PreviousOwner {
         BalancerKey owner;
         TimePoint at;
     };
 
     void dispatchCaller(TimePoint now, const CallerPacket &packet, const Message &message);
     void open(TimePoint now, const CallerPacket &packet, const OpenFlow &message);
-    std::optional<ConnectionId> openId(TimePoint now, ServiceId service, const SealedConnectionId &sealed);
+    std::optional<ConnectionId> authenticateId(TimePoint now, ServiceId service, const SealedConnectionId &sealed);
     template<typename Typed>
     void onFlow(TimePoint now, const CallerPacket &packet, const Typed &message);
     void onOwnFlow(TimePoint now, const CallerPacket &packet, const ConnectionId &id, Flow &flow, const Request &request);
     void onOwnFlow(TimePoint now, const CallerPacket &packet, const ConnectionId &id, Flow &flow, const CancelRequest &cancel);
     void onOwnFlow(TimePoint now, const CallerPacket &packet, const ConnectionId &id, Flow &flow, const PollFeed &poll);
-    void onHandedOver(TimePoint now, const CallerPacket &packet, const ConnectionId &id, BalancerKey to, const Message &message);
-    void onOwnerGone(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message);
+    void onFlowHandedOver(TimePoint now, const CallerPacket &packet, const ConnectionId &id, BalancerKey to, const Message &message);
+    void onOwnerLost(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message);
     bool adoptFromStoppingOwner(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message);
     FlowId adopt(TimePoint now, const CallerPacket &packet, const ConnectionId &id);
     FlowId insertFlow(TimePoint now, const CallerPacket &packet, TargetId target);
@@ -101,12 +101,12 @@
     void relay(TimePoint now, const CallerPacket &packet, BalancerKey to, const Message &message);
     void relayTarget(TimePoint now, Endpoint target, const RelayedPacket *relayed, BalancerKey owner, const Message &message);
     template<typename Typed>
-    bool ownAttempt(TimePoint now, Endpoint target, const RelayedPacket *relayed, const AttemptKey &attempt, const Typed &message);
+    bool isOwnAttemptOrRelay(TimePoint now, Endpoint target, const RelayedPacket *relayed, const AttemptKey &attempt, const Typed &message);
     void dispatchTarget(TimePoint now, Endpoint target, const RelayedPacket *relayed, const Message &message);
-    void takeRelayed(TimePoint now, const RelayedPacket &relayed);
-    void takeHandover(TimePoint now, Endpoint peer, const HandoverFlows &handover);
-    void takeHeartbeat(TimePoint now, const Heartbeat &heartbeat);
-    void targetChanged(TimePoint now, TargetId target, AnnouncementEffect effect);
+    void handleRelayed(TimePoint now, const RelayedPacket &relayed);
+    void handleHandover(TimePoint now, Endpoint peer, const HandoverFlows &handover);
+    void handleHeartbeat(TimePoint now, const Heartbeat &heartbeat);
+    void onTargetChanged(TimePoint now, TargetId target, AnnouncementEffect effect);
     void expireTargets(TimePoint now);
     void sweep(TimePoint now);
 
@@ -116,10 +116,10 @@
     Gossip m_gossip;
     Handover m_handover;
     std::unordered_map<std::uint64_t, Adopted> m_adopted; // By the flow's previous id.
-    std::unordered_map<std::uint64_t, Previous> m_previousOwners; // Of flows received by handover.
+    std::unordered_map<std::uint64_t, PreviousOwner> m_previousOwners; // Of flows received by handover.
     TimePoint m_started;
-    bool m_startedKnown = false;
-    bool m_sawPeer = false;
+    bool m_hasStarted = false;
+    bool m_heardPeer = false;
     TimePoint m_now;
     TimePoint m_nextSweep;
 };
--- a/src/balancer_peers.cpp
+++ b/src/balancer_peers.cpp
@@ -11,21 +11,21 @@
 void BalancerCore<Policy>::handlePeer(TimePoint now, Endpoint peer, const Message &message)
 {
     if (const auto *heartbeat = std::get_if<Heartbeat>(&message)) {
-        takeHeartbeat(now, *heartbeat);
+        handleHeartbeat(now, *heartbeat);
     } else if (const auto *relayed = std::get_if<RelayedPacket>(&message)) {
-        takeRelayed(now, *relayed);
+        handleRelayed(now, *relayed);
     } else if (const auto *offload = std::get_if<OffloadRequest>(&message)) {
-        m_requests.takeOffload(now, peer, *offload);
+        m_requests.handleOffload(now, peer, *offload);
     } else if (const auto *part = std::get_if<RunPart>(&message)) {
-        m_requests.takePart(now, *part);
+        m_requests.handleRunPart(now, *part);
     } else if (const auto *refused = std::get_if<RunRefused>(&message)) {
-        m_requests.takeRefusal(now, *refused);
+        m_requests.handleRunRefused(now, *refused);
     } else if (const auto *cancel = std::get_if<CancelRun>(&message)) {
         m_requests.cancelHosted(*cancel);
     } else if (const auto *handover = std::get_if<HandoverFlows>(&message)) {
-        takeHandover(now, peer, *handover);
+        handleHandover(now, peer, *handover);
     } else if (const auto *received = std::get_if<HandoverReceived>(&message)) {
-        m_handover.received(*received);
+        m_handover.confirm(*received);
     } else {
         m_context.reject(now, RejectReason::UnexpectedType);
     }
@@ -47,13 +47,13 @@
     relayed.service = packet.service;
     relayed.caller = packet.caller;
     relayed.hops = static_cast<std::uint8_t>(packet.hops + 1);
-    relayed.freeSlots = m_requests.spareSlots(packet.service, now);
+    relayed.freeSlots = m_requests.offloadableSlots(packet.service, now);
     relayed.packet = encodeMessage(message);
     m_context.send(peer->endpoint, std::move(relayed));
 }
 
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::takeRelayed(TimePoint now, const RelayedPacket &relayed)
+void BalancerCore<Policy>::handleRelayed(TimePoint now, const RelayedPacket &relayed)
 {
     m_context.peers.recordAlive(now, relayed.relay);
     const std::optional<Message> inner = decodeMessage<Message>(relayed.packet);
@@ -68,7 +68,7 @@
 }
 
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::takeHandover(TimePoint now, Endpoint peer, const HandoverFlows &handover)
+void BalancerCore<Policy>::handleHandover(TimePoint now, Endpoint peer, const HandoverFlows &handover)
 {
     if (handover.to != m_context.peers.self()) {
         return;
@@ -89,7 +89,7 @@
         }
         ++m_context.counters.flowsReceived;
         m_previousOwners[value(entry.flow)] = {handover.from, now};
-        m_context.send(entry.caller, FlowMoved{entry.flow, entry.flow, m_context.sealFor(entry.flow, *inserted)});
+        m_context.send(entry.caller, FlowMoved{entry.flow, entry.flow, m_context.sealConnectionId(entry.flow, *inserted)});
         if (entry.hasFeed) {
             m_feeds.resume(now, entry.flow, *inserted);
         }
@@ -99,21 +99,21 @@
 }
 
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::takeHeartbeat(TimePoint now, const Heartbeat &heartbeat)
+void BalancerCore<Policy>::handleHeartbeat(TimePoint now, const Heartbeat &heartbeat)
 {
-    const Gossip::Reception reception = m_gossip.receive(now, heartbeat);
-    m_sawPeer = true;
-    if (reception.effect == HeartbeatEffect::Joined) {
+    const Gossip::HeartbeatResult result = m_gossip.receive(now, heartbeat);
+    m_heardPeer = true;
+    if (result.effect == HeartbeatEffect::Joined) {
         m_context.observe({.kind = EventKind::PeerJoined, .at = now, .peer = heartbeat.sender.id});
     }
-    if (reception.effect == HeartbeatEffect::Stopping) {
+    if (result.effect == HeartbeatEffect::Stopping) {
         m_context.observe({.kind = EventKind::PeerStopping, .at = now, .peer = heartbeat.sender.id});
     }
-    for (const TargetId target : reception.joined) {
-        targetChanged(now, target, AnnouncementEffect::Joined);
+    for (const TargetId target : result.joined) {
+        onTargetChanged(now, target, AnnouncementEffect::Joined);
     }
-    for (const TargetId target : reception.drained) {
-        targetChanged(now, target, AnnouncementEffect::Drained);
+    for (const TargetId target : result.drained) {
+        onTargetChanged(now, target, AnnouncementEffect::Drained);
     }
 }
 
--- a/src/caller_session.cpp
+++ b/src/caller_session.cpp
@@ -33,7 +33,7 @@
         }
         return;
     }
-    sendAgain(now);
+    sendDueRepeats(now);
     std::vector<RequestId> overdue;
     for (auto &[id, pending] : m_pending) {
         if (now - pending.sentLast >= RequestRetryInterval) {
@@ -77,11 +77,11 @@
             }
         }
     } else if (const auto *part = std::get_if<AnswerPart>(&message)) {
-        takePart(now, *part);
+        handleAnswerPart(now, *part);
     } else if (const auto *refusal = std::get_if<Refusal>(&message)) {
-        takeRefusal(now, *refusal);
+        handleRefusal(now, *refusal);
     } else if (const auto *item = std::get_if<FeedItem>(&message)) {
-        takeItem(now, *item);
+        handleItem(now, *item);
     }
 }
 
@@ -107,10 +107,10 @@
     }
 }
 
-void CallerSession::takePart(TimePoint now, const AnswerPart &part)
+void CallerSession::handleAnswerPart(TimePoint now, const AnswerPart &part)
 {
     const auto at = m_pending.find(part.request);
-    if (at == m_pending.end() || !knows(part.flow)) {
+    if (at == m_pending.end() || !isKnownFlow(part.flow)) {
         return;
     }
     AnswerAssembly &assembly = at->second.attempts[part.attempt];
@@ -123,9 +123,9 @@
     finish(now, part.request, std::move(result));
 }
 
-void CallerSession::takeRefusal(TimePoint now, const Refusal &refusal)
+void CallerSession::handleRefusal(TimePoint now, const Refusal &refusal)
 {
-    if (!m_pending.contains(refusal.request) || !knows(refusal.flow)) {
+    if (!m_pending.contains(refusal.request) || !isKnownFlow(refusal.flow)) {
         return;
     }
     const auto at = m_pending.find(refusal.request);
@@ -147,7 +147,7 @@
 }
 
 // By then the new connection id has usually come, as it is sent before the refusal.
-void CallerSession::sendAgain(TimePoint now)
+void CallerSession::sendDueRepeats(TimePoint now)
 {
     std::vector<Repeat> due;
     std::erase_if(m_repeats, [&](Repeat &repeat) {
@@ -171,9 +171,9 @@
     }
 }
 
-void CallerSession::takeItem(TimePoint now, const FeedItem &item)
+void CallerSession::handleItem(TimePoint now, const FeedItem &item)
 {
-    if (!knows(item.flow) || item.sequence != m_acknowledged + 1) {
+    if (!isKnownFlow(item.flow) || item.sequence != m_acknowledged + 1) {
         return; // A repeat, or behind a gap that the next poll closes.
     }
     ++m_acknowledged;
@@ -193,7 +193,7 @@
     m_results.push_back(std::move(result));
 }
 
-bool CallerSession::knows(FlowId flow) const
+bool CallerSession::isKnownFlow(FlowId flow) const
 {
     return std::find(m_flows.begin(), m_flows.end(), flow) != m_flows.end();
 }
--- a/src/caller_session.h
+++ b/src/caller_session.h
@@ -73,13 +73,13 @@
         TimePoint deadline;
         std::map<std::uint64_t, AnswerAssembly> attempts;
     };
-    void takePart(TimePoint now, const AnswerPart &part);
-    void takeRefusal(TimePoint now, const Refusal &refusal);
-    void takeItem(TimePoint now, const FeedItem &item);
+    void handleAnswerPart(TimePoint now, const AnswerPart &part);
+    void handleRefusal(TimePoint now, const Refusal &refusal);
+    void handleItem(TimePoint now, const FeedItem &item);
     void finish(TimePoint now, RequestId request, CallResult result);
     bool mayRepeat(TimePoint now, const Pending &pending, const Refusal &refusal) const;
-    void sendAgain(TimePoint now);
-    bool knows(FlowId flow) const;
+    void sendDueRepeats(TimePoint now);
+    bool isKnownFlow(FlowId flow) const;
 
     std::uint64_t m_nonce;
     bool m_withFeed;
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -23,38 +23,38 @@
 
     void push(Caller caller, Item item)
     {
-        std::deque<Item> &line = m_lines[caller];
-        if (line.empty()) {
-            m_turns.push_back(caller);
+        std::deque<Item> &queue = m_queues[caller];
+        if (queue.empty()) {
+            m_turnOrder.push_back(caller);
         }
-        line.push_back(std::move(item));
+        queue.push_back(std::move(item));
         ++m_size;
     }
 
     // The request whose turn it is.
     std::optional<Item> pop()
     {
-        if (m_turns.empty()) {
+        if (m_turnOrder.empty()) {
             return std::nullopt;
         }
-        const Caller caller = m_turns.front();
-        m_turns.pop_front();
-        std::deque<Item> &line = m_lines.at(caller);
-        Item item = std::move(line.front());
-        line.pop_front();
-        keepOrDrop(caller, line);
+        const Caller caller = m_turnOrder.front();
+        m_turnOrder.pop_front();
+        std::deque<Item> &queue = m_queues.at(caller);
+        Item item = std::move(queue.front());
+        queue.pop_front();
+        updateTurns(caller, queue);
         return item;
     }
 
     // Puts a popped request back to the head of its caller's line, with the next turn.
     void pushFront(Caller caller, Item item)
     {
-        std::deque<Item> &line = m_lines[caller];
-        if (!line.empty()) {
-            std::erase(m_turns, caller);
+        std::deque<Item> &queue = m_queues[caller];
+        if (!queue.empty()) {
+            std::erase(m_turnOrder, caller);
         }
-        m_turns.push_front(caller);
-        line.push_front(std::move(item));
+        m_turnOrder.push_front(caller);
+        queue.push_front(std::move(item));
         ++m_size;
     }
 
@@ -62,15 +62,15 @@
     // `caller`'s own with one request more. Under overload this is the one to refuse.
     std::optional<Item> evictFor(Caller caller)
     {
-        auto longest = m_lines.end();
-        for (auto line = m_lines.begin(); line != m_lines.end(); ++line) {
-            const bool longer = longest == m_lines.end() || line->second.size() > longest->second.size()
-                || (line->second.size() == longest->second.size() && line->first < longest->first);
-            longest = longer ? line : longest;
+        auto longest = m_queues.end();
+        for (auto queue = m_queues.begin(); queue != m_queues.end(); ++queue) {
+            const bool longer = longest == m_queues.end() || queue->second.size() > longest->second.size()
+                || (queue->second.size() == longest->second.size() && queue->first < longest->first);
+            longest = longer ? queue : longest;
         }
-        const auto own = m_lines.find(caller);
-        const std::size_t ownLength = own != m_lines.end() ? own->second.size() : 0;
-        if (longest == m_lines.end() || longest->second.size() <= ownLength + 1) {
+        const auto own = m_queues.find(caller);
+        const std::size_t ownLength = own != m_queues.end() ? own->second.size() : 0;
+        if (longest == m_queues.end() || longest->second.size() <= ownLength + 1) {
             return std::nullopt;
         }
         Item item = std::move(longest->second.back());
@@ -86,18 +86,18 @@
     }
 
 private:
-    void keepOrDrop(Caller caller, const std::deque<Item> &line)
+    void updateTurns(Caller caller, const std::deque<Item> &queue)
     {
         --m_size;
-        if (line.empty()) {
-            m_lines.erase(caller);
+        if (queue.empty()) {
+            m_queues.erase(caller);
         } else {
-            m_turns.push_back(caller);
+            m_turnOrder.push_back(caller);
         }
     }
 
-    boost::unordered_flat_map<Caller, std::deque<Item>> m_lines;
-    std::deque<Caller> m_turns; // Callers with a line, each once.
+    boost::unordered_flat_map<Caller, std::deque<Item>> m_queues;
+    std::deque<Caller> m_turnOrder; // Callers with a line, each once.
     std::size_t m_size = 0;
 };
 
--- a/src/feed_engine.cpp
+++ b/src/feed_engine.cpp
@@ -25,19 +25,19 @@
         flow.nextSequence = acknowledged + 1;
         return resync(now, id, flow);
     }
-    if (flow.lastPush.elapsed(now) < FeedResyncPause) {
+    if (flow.lastPush.elapsed(now) < MinResyncInterval) {
         return;
     }
     // Nothing came for a while: either the feed is quiet, or an item or the attachment was lost.
     flow.nextSequence = acknowledged + 1;
     if (++flow.unansweredResyncs >= MaxUnansweredResyncs) {
-        return leaveSilentTarget(now, id, flow);
+        return rebindFromSilentTarget(now, id, flow);
     }
     resync(now, id, flow);
 }
 
 // A target answers each attachment at once, if only with the item before; one that does not is left.
-void FeedEngine::leaveSilentTarget(TimePoint now, FlowId id, Flow &flow)
+void FeedEngine::rebindFromSilentTarget(TimePoint now, FlowId id, Flow &flow)
 {
     if (Target *target = m_context.targets.find(flow.target); target != nullptr) {
         recordNoAnswer(*target);
@@ -56,7 +56,7 @@
     if (flow == nullptr) {
         return;
     }
-    if (push.sequence > flow->nextSequence && flow->lastPush.elapsed(now) >= FeedResyncPause) {
+    if (push.sequence > flow->nextSequence && flow->lastPush.elapsed(now) >= MinResyncInterval) {
         resync(now, push.flow, *flow);
     }
     if (push.sequence != flow->nextSequence) {
--- a/src/feed_engine.h
+++ b/src/feed_engine.h
@@ -10,7 +10,7 @@
 namespace Robinrail {
 
 // Least time between two requests to a target to push again from a sequence number.
-inline constexpr Duration FeedResyncPause = std::chrono::milliseconds(100);
+inline constexpr Duration MinResyncInterval = std::chrono::milliseconds(100);
 
 // After this many attachments in a row that brought nothing, the feed is bound to another target.
 inline constexpr std::uint8_t MaxUnansweredResyncs = 3;
@@ -41,7 +41,7 @@
 private:
     Flow *attachedFlow(Endpoint target, FlowId id, const AttemptKey &attachment);
     bool attach(TimePoint now, FlowId id, Flow &flow, std::optional<TargetId> avoid = std::nullopt);
-    void leaveSilentTarget(TimePoint now, FlowId id, Flow &flow);
+    void rebindFromSilentTarget(TimePoint now, FlowId id, Flow &flow);
     void resync(TimePoint now, FlowId id, Flow &flow);
 
     BalancerContext &m_context;
--- a/src/flow_table.cpp
+++ b/src/flow_table.cpp
@@ -16,7 +16,7 @@
 {
 }
 
-RequestAge RequestWindow::look(RequestId id) const
+RequestAge RequestWindow::lookUp(RequestId id) const
 {
     const std::uint32_t number = value(id);
     if (number > m_highest) {
@@ -29,9 +29,9 @@
     return (m_bits >> distance & 1U) != 0 ? RequestAge::Seen : RequestAge::Fresh;
 }
 
-RequestAge RequestWindow::take(RequestId id)
+RequestAge RequestWindow::record(RequestId id)
 {
-    const RequestAge before = look(id);
+    const RequestAge before = lookUp(id);
     if (before != RequestAge::Fresh) {
         return before;
     }
--- a/src/flow_table.h
+++ b/src/flow_table.h
@@ -31,10 +31,10 @@
     RequestWindow(std::uint32_t highest, std::uint64_t bits);
 
     // Whether the id was taken; takes nothing.
-    RequestAge look(RequestId id) const;
+    RequestAge lookUp(RequestId id) const;
 
     // Takes the id; answers what it was before.
-    RequestAge take(RequestId id);
+    RequestAge record(RequestId id);
 
     std::uint32_t highest() const;
     std::uint64_t bits() const;
@@ -54,7 +54,7 @@
     Endpoint caller;
     TargetId target{}; // Affinity of the flow, and where its feed is attached.
     ServiceId service{};
-    std::uint16_t busy = 0; // Requests queued or running.
+    std::uint16_t activeRequests = 0; // Requests queued or running.
     std::uint8_t unansweredResyncs = 0; // Of the feed, in a row.
     bool handedOver = false; // Sent to the successor, not yet confirmed by it.
 };
--- a/src/gossip.cpp
+++ b/src/gossip.cpp
@@ -15,73 +15,73 @@
 {
     const AnnouncementEffect effect = m_context.targets.announce(now, announcement);
     if (effect == AnnouncementEffect::Joined || effect == AnnouncementEffect::Drained) {
-        spread(now, announcement.target);
+        broadcastChange(now, announcement.target);
     }
     return effect;
 }
 
-Gossip::Reception Gossip::receive(TimePoint now, const Heartbeat &heartbeat)
+Gossip::HeartbeatResult Gossip::receive(TimePoint now, const Heartbeat &heartbeat)
 {
-    Reception reception;
-    reception.effect = m_context.peers.heartbeat(now, heartbeat);
+    HeartbeatResult result;
+    result.effect = m_context.peers.heartbeat(now, heartbeat);
     for (const TargetNews &news : heartbeat.news) {
         const AnnouncementEffect effect = m_context.targets.announce(now, news.announcement, news.age, news.knownFor);
         if (effect == AnnouncementEffect::Drained) {
-            reception.drained.push_back(news.announcement.target);
+            result.drained.push_back(news.announcement.target);
         } else if (effect == AnnouncementEffect::Joined) {
-            reception.joined.push_back(news.announcement.target);
+            result.joined.push_back(news.announcement.target);
         }
     }
     for (const TargetRenewal &renewal : heartbeat.renewals) {
         m_context.targets.renew(now, renewal);
     }
-    if (reception.effect == HeartbeatEffect::Joined) {
+    if (result.effect == HeartbeatEffect::Joined) {
         if (const Peer *peer = m_context.peers.find(heartbeat.sender.id); peer != nullptr) {
-            sendAllNews(now, *peer);
+            sendAllTargets(now, *peer);
         }
     }
-    return reception;
+    return result;
 }
 
 void Gossip::tick(TimePoint now)
 {
-    if (now < m_nextBeat) {
+    if (now < m_nextHeartbeat) {
         return;
     }
-    m_nextBeat = now + HeartbeatInterval;
-    beat(now);
+    m_nextHeartbeat = now + HeartbeatInterval;
+    sendHeartbeats(now);
 }
 
-void Gossip::beat(TimePoint now)
+void Gossip::sendHeartbeats(TimePoint now)
 {
-    Heartbeat common = header();
+    Heartbeat common = makeHeader();
     common.counter = ++m_counter;
-    for (News &news : m_news) {
+    for (PendingChange &news : m_pendingChanges) {
         const Target *target = m_context.targets.find(news.target);
-        if (target != nullptr && common.news.size() < MaxNewsPerHeartbeat) {
-            common.news.push_back(newsOf(now, *target));
+        if (target != nullptr && common.news.size() < MaxAnnouncementsPerHeartbeat) {
+            common.news.push_back(makeNews(now, *target));
         }
         --news.repeats;
     }
-    std::erase_if(m_news, [](const News &news) {
+    std::erase_if(m_pendingChanges, [](const PendingChange &news) {
         return news.repeats <= 0;
     });
-    const std::vector<BalancerId> gossipPeers = nextGossipPeers();
+    const std::vector<BalancerId> gossipPeers = takeGossipPeers();
     Heartbeat longer = common;
     if (!gossipPeers.empty()) {
         longer.renewals = takeRenewals(now);
     }
     const std::span<const Target> targets = std::as_const(m_context.targets).targets();
     for (const Peer &peer : m_context.peers.peers()) {
-        const auto gossiped = std::find(gossipPeers.begin(), gossipPeers.end(), peer.id);
-        if (gossiped == gossipPeers.end()) {
+        const auto forwarded = std::find(gossipPeers.begin(), gossipPeers.end(), peer.id);
+        if (forwarded == gossipPeers.end()) {
             m_context.send(peer.endpoint, common);
             continue;
         }
         Heartbeat own = longer;
-        if (!targets.empty() && own.news.empty() && gossiped == gossipPeers.begin() && m_counter % AntiEntropyInterval == 0) {
+        if (!targets.empty() && own.news.empty() && forwarded == gossipPeers.begin() && m_counter % AntiEntropyHeartbeats == 0) {
             // One full announcement in turn repairs whatever news was lost.
-            own.news.push_back(newsOf(now, targets[m_rotation++ % targets.size()]));
+            own.news.push_back(makeNews(now, targets[m_nextAntiEntropy++ % targets.size()]));
         }
         m_context.send(peer.endpoint, own);
     }
@@ -92,7 +92,7 @@
     m_successor = successor;
 }
 
-Heartbeat Gossip::header() const
+Heartbeat Gossip::makeHeader() const
 {
     Heartbeat heartbeat;
     heartbeat.sender = m_context.peers.self();
@@ -103,33 +103,33 @@
     return heartbeat;
 }
 
-TargetNews Gossip::newsOf(TimePoint now, const Target &target) const
+TargetNews Gossip::makeNews(TimePoint now, const Target &target) const
 {
     return {target.announcement, now - target.lastHeard, now - target.firstHeard};
 }
 
-void Gossip::spread(TimePoint now, TargetId target)
+void Gossip::broadcastChange(TimePoint now, TargetId target)
 {
-    std::erase_if(m_news, [target](const News &news) {
+    std::erase_if(m_pendingChanges, [target](const PendingChange &news) {
         return news.target == target;
     });
-    m_news.push_back({target, NewsRepeats});
-    Heartbeat urgent = header();
+    m_pendingChanges.push_back({target, ChangeRepeats});
+    Heartbeat urgent = makeHeader();
     urgent.counter = ++m_counter;
-    urgent.news.push_back(newsOf(now, *m_context.targets.find(target)));
+    urgent.news.push_back(makeNews(now, *m_context.targets.find(target)));
     for (const Peer &peer : m_context.peers.peers()) {
         m_context.send(peer.endpoint, urgent);
     }
 }
 
-void Gossip::sendAllNews(TimePoint now, const Peer &peer)
+void Gossip::sendAllTargets(TimePoint now, const Peer &peer)
 {
     const std::span<const Target> targets = std::as_const(m_context.targets).targets();
-    for (std::size_t from = 0; from < targets.size(); from += MaxNewsPerHeartbeat) {
-        Heartbeat chunk = header();
+    for (std::size_t from = 0; from < targets.size(); from += MaxAnnouncementsPerHeartbeat) {
+        Heartbeat chunk = makeHeader();
         chunk.counter = ++m_counter;
-        for (const Target &target : targets.subspan(from, std::min(MaxNewsPerHeartbeat, targets.size() - from))) {
-            chunk.news.push_back(newsOf(now, target));
+        for (const Target &target : targets.subspan(from, std::min(MaxAnnouncementsPerHeartbeat, targets.size() - from))) {
+            chunk.news.push_back(makeNews(now, target));
         }
         m_context.send(peer.endpoint, chunk);
     }
@@ -141,11 +141,11 @@
     std::vector<TargetRenewal> renewals;
     const std::span<const Target> targets = std::as_const(m_context.targets).targets();
     for (std::size_t step = 0; step < targets.size() && renewals.size() < MaxRenewalsPerHeartbeat; ++step) {
-        const Target &target = targets[m_renewalTurn++ % targets.size()];
-        Renewed &gossiped = m_renewed[value(target.id())];
-        const bool restarted = target.announcement.incarnation != gossiped.incarnation;
-        if (restarted || target.lastHeard - gossiped.heard >= RenewalGap) {
-            gossiped = {target.announcement.incarnation, target.lastHeard};
+        const Target &target = targets[m_nextRenewal++ % targets.size()];
+        ForwardedRenewal &forwarded = m_forwardedRenewals[value(target.id())];
+        const bool restarted = target.announcement.incarnation != forwarded.incarnation;
+        if (restarted || target.lastHeard - forwarded.heard >= MinRenewalAdvance) {
+            forwarded = {target.announcement.incarnation, target.lastHeard};
             renewals.push_back(renewalOf(now, target));
         }
     }
@@ -163,12 +163,12 @@
     return renewal;
 }
 
-std::vector<BalancerId> Gossip::nextGossipPeers()
+std::vector<BalancerId> Gossip::takeGossipPeers()
 {
     std::vector<BalancerId> chosen;
     const std::span<const Peer> peers = std::as_const(m_context.peers).peers();
     for (std::size_t step = 0; step < peers.size() && chosen.size() < RenewalFanOut; ++step) {
-        const Peer &peer = peers[m_gossipTurn++ % peers.size()];
+        const Peer &peer = peers[m_nextGossipPeer++ % peers.size()];
         if (peer.alive) {
             chosen.push_back(peer.id);
         }
--- a/src/gossip.h
+++ b/src/gossip.h
@@ -7,18 +7,18 @@
 namespace Robinrail {
 
 // News of a target that joined or drains goes to every peer at once and in this many heartbeats more.
-inline constexpr int NewsRepeats = 3;
+inline constexpr int ChangeRepeats = 3;
 
 // A target's renewal is passed on when it is this much newer than the last one that was, to this many peers.
 // Four rounds fit into a lease, and a round of fan-out 3 misses a peer in about 6 of 100 cases.
-inline constexpr Duration RenewalGap = TargetLease / 4;
+inline constexpr Duration MinRenewalAdvance = TargetLease / 4;
 inline constexpr int RenewalFanOut = 3;
 
 // Every so many heartbeats one full announcement goes along.
-inline constexpr std::uint64_t AntiEntropyInterval = 2;
+inline constexpr std::uint64_t AntiEntropyHeartbeats = 2;
 
 // Most full announcements in one heartbeat; the rest follows in further ones.
-inline constexpr std::size_t MaxNewsPerHeartbeat = 10;
+inline constexpr std::size_t MaxAnnouncementsPerHeartbeat = 10;
 
 // Most renewals in one heartbeat.
 inline constexpr std::size_t MaxRenewalsPerHeartbeat = 40;
@@ -34,49 +34,49 @@
     AnnouncementEffect announce(TimePoint now, const Announcement &announcement);
 
     // Takes a heartbeat; answers targets that joined, drained or came back by it.
-    struct Reception {
+    struct HeartbeatResult {
         HeartbeatEffect effect = HeartbeatEffect::Stale;
         std::vector<TargetId> drained;
         std::vector<TargetId> joined;
     };
-    Reception receive(TimePoint now, const Heartbeat &heartbeat);
+    HeartbeatResult receive(TimePoint now, const Heartbeat &heartbeat);
 
     // Sends heartbeats when they are due.
     void tick(TimePoint now);
 
     // Sends a heartbeat to every peer now.
-    void beat(TimePoint now);
+    void sendHeartbeats(TimePoint now);
 
     // Names the balancer that has the flows of this one; it goes out with every further heartbeat.
     void setSuccessor(BalancerKey successor);
 
 private:
-    struct News {
+    struct PendingChange {
         TargetId target{};
         int repeats = 0;
     };
     // The newest renewal of a target that was passed on.
-    struct Renewed {
+    struct ForwardedRenewal {
         Incarnation incarnation{};
         TimePoint heard;
     };
-    Heartbeat header() const;
-    TargetNews newsOf(TimePoint now, const Target &target) const;
-    void spread(TimePoint now, TargetId target);
-    void sendAllNews(TimePoint now, const Peer &peer);
+    Heartbeat makeHeader() const;
+    TargetNews makeNews(TimePoint now, const Target &target) const;
+    void broadcastChange(TimePoint now, TargetId target);
+    void sendAllTargets(TimePoint now, const Peer &peer);
     std::vector<TargetRenewal> takeRenewals(TimePoint now);
     TargetRenewal renewalOf(TimePoint now, const Target &target) const;
-    std::vector<BalancerId> nextGossipPeers();
+    std::vector<BalancerId> takeGossipPeers();
 
     BalancerContext &m_context;
     std::uint64_t m_counter = 0;
-    TimePoint m_nextBeat;
-    std::vector<News> m_news;
+    TimePoint m_nextHeartbeat;
+    std::vector<PendingChange> m_pendingChanges;
     std::optional<BalancerKey> m_successor;
-    std::size_t m_gossipTurn = 0;
-    std::size_t m_rotation = 0;
-    std::size_t m_renewalTurn = 0;
-    boost::unordered_flat_map<std::uint32_t, Renewed> m_renewed; // By target.
+    std::size_t m_nextGossipPeer = 0;
+    std::size_t m_nextAntiEntropy = 0;
+    std::size_t m_nextRenewal = 0;
+    boost::unordered_flat_map<std::uint32_t, ForwardedRenewal> m_forwardedRenewals; // By target.
 };
 
 } // namespace Robinrail
--- a/src/handover.cpp
+++ b/src/handover.cpp
@@ -18,7 +18,7 @@
     m_begun = true;
     m_lingerUntil = now + linger;
     m_context.peers.setStopping();
-    m_gossip.beat(now);
+    m_gossip.sendHeartbeats(now);
 }
 
 void Handover::tick(TimePoint now, bool idle)
@@ -26,23 +26,23 @@
     if (!m_begun || now < m_lingerUntil) {
         return;
     }
-    dropLost();
+    dropFlowsOfLostSuccessors();
     if (chooseSuccessor()) {
         sendBatch(now);
     }
     const bool empty = idle && m_context.flows.size() == 0;
     if (!empty) {
-        m_emptySince.reset();
-    } else if (!m_emptySince) {
-        m_emptySince = now;
+        m_drainedSince.reset();
+    } else if (!m_drainedSince) {
+        m_drainedSince = now;
         if (m_successor) {
             m_gossip.setSuccessor(*m_successor);
         }
-        m_gossip.beat(now);
+        m_gossip.sendHeartbeats(now);
     }
 }
 
-void Handover::received(const HandoverReceived &message)
+void Handover::confirm(const HandoverReceived &message)
 {
     for (const FlowId flow : message.flows) {
         const auto sent = m_sent.find(value(flow));
@@ -61,7 +61,7 @@
 
 bool Handover::finished(TimePoint now) const
 {
-    return m_begun && m_emptySince && now - *m_emptySince >= HandoverGracePeriod;
+    return m_begun && m_drainedSince && now - *m_drainedSince >= HandoverGracePeriod;
 }
 
 bool Handover::chooseSuccessor()
@@ -75,7 +75,7 @@
 
 // Flows that went to a successor which died before it confirmed must not go to a second one: the first
 // may have run requests on them. They are given up, and their callers' next packets open them anew.
-void Handover::dropLost()
+void Handover::dropFlowsOfLostSuccessors()
 {
     std::vector<FlowId> lost;
     m_context.flows.forEach([&](FlowId id, const Flow &flow) {
@@ -97,7 +97,7 @@
         const auto sent = m_sent.find(value(id));
         const bool waiting = sent != m_sent.end() && now - sent->second.at < HandoverRetry;
         const bool otherSuccessor = sent != m_sent.end() && sent->second.to != *m_successor;
-        if (flow.busy > 0 || waiting || otherSuccessor) {
+        if (flow.activeRequests > 0 || waiting || otherSuccessor) {
             return;
         }
         if (batches.empty() || batches.back().flows.size() >= MaxFlowsPerHandover) {
--- a/src/handover.h
+++ b/src/handover.h
@@ -38,7 +38,7 @@
     void tick(TimePoint now, bool idle);
 
     // The successor confirms flows.
-    void received(const HandoverReceived &message);
+    void confirm(const HandoverReceived &message);
 
     // Where a flow went that this balancer handed over; empty for any other.
     std::optional<BalancerKey> destination(FlowId flow) const;
@@ -47,14 +47,14 @@
     bool finished(TimePoint now) const;
 
 private:
-    struct Sent {
+    struct SentFlow {
         BalancerKey to;
         TimePoint at;
         bool confirmed = false;
     };
     bool chooseSuccessor();
     void sendBatch(TimePoint now);
-    void dropLost();
+    void dropFlowsOfLostSuccessors();
     FlowHandover pack(FlowId id, const Flow &flow) const;
 
     BalancerContext &m_context;
@@ -62,8 +62,8 @@
     bool m_begun = false;
     TimePoint m_lingerUntil;
     std::optional<BalancerKey> m_successor;
-    std::unordered_map<std::uint64_t, Sent> m_sent;
-    std::optional<TimePoint> m_emptySince;
+    std::unordered_map<std::uint64_t, SentFlow> m_sent;
+    std::optional<TimePoint> m_drainedSince;
 };
 
 } // namespace Robinrail
--- a/src/peer_table.cpp
+++ b/src/peer_table.cpp
@@ -32,12 +32,12 @@
     if (peer == nullptr || heartbeat.sender.incarnation < peer->incarnation) {
         return HeartbeatEffect::Stale;
     }
-    const bool sameRun = heartbeat.sender.incarnation == peer->incarnation;
-    if (sameRun && heartbeat.counter <= peer->counter) {
+    const bool sameIncarnation = heartbeat.sender.incarnation == peer->incarnation;
+    if (sameIncarnation && heartbeat.counter <= peer->counter) {
         return HeartbeatEffect::Stale;
     }
-    const bool joined = !sameRun || !peer->alive;
-    const bool stops = heartbeat.stopping && (!peer->stopping || !sameRun);
+    const bool joined = !sameIncarnation || !peer->alive;
+    const bool startsStopping = heartbeat.stopping && (!peer->stopping || !sameIncarnation);
     peer->incarnation = heartbeat.sender.incarnation;
     peer->dataCentre = heartbeat.dataCentre;
     peer->counter = heartbeat.counter;
@@ -48,8 +48,8 @@
     if (heartbeat.successor) {
         redirect(heartbeat.sender, *heartbeat.successor);
     }
-    m_version += joined || stops ? 1 : 0;
-    if (stops) {
+    m_version += joined || startsStopping ? 1 : 0;
+    if (startsStopping) {
         return HeartbeatEffect::Stopping;
     }
     return joined ? HeartbeatEffect::Joined : HeartbeatEffect::Alive;
--- a/src/request_attempts.cpp
+++ b/src/request_attempts.cpp
@@ -14,33 +14,33 @@
 // ---- Dispatch ----
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::pump(TimePoint now, ServiceLine &line)
+void RequestEngine<Policy>::dispatchQueued(TimePoint now, ServiceState &state)
 {
-    while (const std::optional<RequestKey> key = line.queue.pop()) {
+    while (const std::optional<RequestKey> key = state.queue.pop()) {
         const auto at = m_pending.find(*key);
         if (at == m_pending.end()) {
             continue; // Settled while it waited.
         }
-        if (!place(now, *key, at->second, line)) {
-            line.queue.pushFront(at->second.caller.address, *key);
+        if (!dispatch(now, *key, at->second, state)) {
+            state.queue.pushFront(at->second.caller.address, *key);
             return;
         }
     }
 }
 
 template<SlotPolicy Policy>
-bool RequestEngine<Policy>::place(TimePoint now, RequestKey key, Pending &pending, ServiceLine &line)
+bool RequestEngine<Policy>::dispatch(TimePoint now, RequestKey key, Pending &pending, ServiceState &state)
 {
     Target *target = chooseAttemptTarget(m_context.targets.targetsOf(pending.service), pending.service, pending.avoid, now);
     if (target != nullptr) {
-        sendAttempt(now, key, pending, *target, line);
+        sendAttempt(now, key, pending, *target, state);
         return true;
     }
-    return Policy::OffloadsToPeers && offload(now, key, pending, line);
+    return Policy::OffloadsToPeers && offload(now, key, pending, state);
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::sendAttempt(TimePoint now, RequestKey key, Pending &pending, Target &target, const ServiceLine &line)
+void RequestEngine<Policy>::sendAttempt(TimePoint now, RequestKey key, Pending &pending, Target &target, const ServiceState &state)
 {
     const AttemptKey attempt = m_context.nextAttempt();
     Attempt &record = m_attempts[attempt.serial];
@@ -48,15 +48,15 @@
     record.service = pending.service;
     pending.attempt = attempt.serial;
     ++pending.unresolvedAttempts;
-    occupy(now, record, attempt.serial, target, line);
-    limitAttempt(now, pending, attempt.serial, line);
+    acquireSlot(now, record, attempt.serial, target, state);
+    startAttemptTimeout(now, pending, attempt.serial, state);
     m_context.send(target.announcement.endpoint, RunRequest{attempt, pending.deadline - now, pending.body});
     m_context.observe({.kind = EventKind::RequestSent, .at = now, .service = pending.service, .flow = key.flow, .request = key.request, .target = target.id()});
 }
 
 // Takes a slot of the target for an attempt.
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::occupy(TimePoint now, Attempt &attempt, std::uint64_t serial, Target &target, const ServiceLine &line)
+void RequestEngine<Policy>::acquireSlot(TimePoint now, Attempt &attempt, std::uint64_t serial, Target &target, const ServiceState &state)
 {
     attempt.target = target.id();
     attempt.started = now;
@@ -64,20 +64,20 @@
     ++target.running;
     target.lastAttempt = serial;
     ++m_context.counters.attemptsSent;
-    m_timers.push({now + std::max(MinSlotHold, line.usualTime() * SlotHoldFactor), TimerKind::SlotHold, serial, {}});
+    m_timers.push({now + std::max(MinSlotHold, state.meanServiceTime() * SlotHoldFactor), TimerKind::SlotHold, serial, {}});
 }
 
 // Only what may be repeated has an end before its deadline: it is tried again elsewhere.
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::limitAttempt(TimePoint now, const Pending &pending, std::uint64_t serial, const ServiceLine &line)
+void RequestEngine<Policy>::startAttemptTimeout(TimePoint now, const Pending &pending, std::uint64_t serial, const ServiceState &state)
 {
     if (pending.repeatable) {
-        m_timers.push({now + std::max(MinAttemptTimeout, line.usualTime() * AttemptTimeoutFactor), TimerKind::AttemptEnd, serial, {}});
+        m_timers.push({now + std::max(MinAttemptTimeout, state.meanServiceTime() * AttemptTimeoutFactor), TimerKind::AttemptEnd, serial, {}});
     }
 }
 
 template<SlotPolicy Policy>
-bool RequestEngine<Policy>::offload(TimePoint now, RequestKey key, Pending &pending, ServiceLine &line)
+bool RequestEngine<Policy>::offload(TimePoint now, RequestKey key, Pending &pending, ServiceState &state)
 {
     const bool mayProbe = pending.probes < MaxProbes && countAssignedSlots(m_context.targets.targetsOf(pending.service), pending.service) == 0;
     Peer *peer = choosePeer(pending.service, m_context.lastSerial, mayProbe);
@@ -97,7 +97,7 @@
     pending.attempt = attempt.serial;
     ++pending.unresolvedAttempts;
     ++m_context.counters.attemptsOffloaded;
-    limitAttempt(now, pending, attempt.serial, line);
+    startAttemptTimeout(now, pending, attempt.serial, state);
     m_context.send(peer->endpoint, OffloadRequest{attempt, peer->key(), pending.service, pending.deadline - now, pending.body});
     m_context.observe({.kind = EventKind::RequestOffloaded, .at = now, .service = pending.service, .flow = key.flow, .request = key.request, .peer = peer->id});
     return true;
@@ -125,14 +125,14 @@
 // ---- Attempts for peers ----
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::takeOffload(TimePoint now, Endpoint peer, const OffloadRequest &offload)
+void RequestEngine<Policy>::handleOffload(TimePoint now, Endpoint peer, const OffloadRequest &offload)
 {
-    if (offload.executor != m_context.peers.self() || !m_offloads.recordIfNew(now, offload.attempt)) {
+    if (offload.executor != m_context.peers.self() || !m_offloadDeduplicator.recordIfNew(now, offload.attempt)) {
         return;
     }
-    ServiceLine *line = lineOf(offload.service);
-    Target *target = line != nullptr ? chooseAttemptTarget(m_context.targets.targetsOf(offload.service), offload.service, {}, now) : nullptr;
-    const bool busy = target == nullptr || line->queue.size() > 0;
+    ServiceState *state = findService(offload.service);
+    Target *target = state != nullptr ? chooseAttemptTarget(m_context.targets.targetsOf(offload.service), offload.service, {}, now) : nullptr;
+    const bool busy = target == nullptr || state->queue.size() > 0;
     if (busy || m_context.peers.stopping() || offload.timeLeft <= Duration::zero()) {
         m_context.send(peer, RunRefused{offload.attempt});
         return;
@@ -143,7 +143,7 @@
     record.service = offload.service;
     record.origin = offload.attempt;
     record.originEndpoint = peer;
-    occupy(now, record, attempt.serial, *target, *line);
+    acquireSlot(now, record, attempt.serial, *target, *state);
     m_timers.push({now + std::min(offload.timeLeft, MaxTimeLeft), TimerKind::AttemptEnd, attempt.serial, {}});
     m_context.send(target->announcement.endpoint, RunRequest{attempt, offload.timeLeft, offload.body});
 }
@@ -153,7 +153,7 @@
 {
     for (auto &[serial, attempt] : m_attempts) {
         if (attempt.kind == AttemptKind::Hosted && attempt.origin == cancel.attempt) {
-            return abandonAttempt(serial);
+            return cancelAttempt(serial);
         }
     }
 }
@@ -164,15 +164,15 @@
     if (Peer *known = m_context.peers.find(peer); known != nullptr) {
         known->freeSlots[value(service)] = freeSlots;
     }
-    if (ServiceLine *line = lineOf(service); freeSlots > 0 && line != nullptr && line->queue.size() > 0) {
-        pump(now, *line);
+    if (ServiceState *state = findService(service); freeSlots > 0 && state != nullptr && state->queue.size() > 0) {
+        dispatchQueued(now, *state);
     }
 }
 
 // ---- Answers and refusals of targets ----
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::takePart(TimePoint now, const RunPart &part)
+void RequestEngine<Policy>::handleRunPart(TimePoint now, const RunPart &part)
 {
     const auto at = m_attempts.find(part.attempt.serial);
     if (at == m_attempts.end()) {
@@ -187,7 +187,7 @@
         m_context.send(attempt.originEndpoint, RunPart{attempt.origin, part.index, part.count, part.body});
     }
     if (effect == PartEffect::Completed) {
-        return answer(now, part.attempt.serial, attempt);
+        return completeAttempt(now, part.attempt.serial, attempt);
     }
     const auto pending = m_pending.find(attempt.request);
     if (attempt.kind != AttemptKind::Hosted && pending != m_pending.end() && pending->second.repeatable) {
@@ -196,9 +196,9 @@
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::answer(TimePoint now, std::uint64_t serial, Attempt &attempt)
+void RequestEngine<Policy>::completeAttempt(TimePoint now, std::uint64_t serial, Attempt &attempt)
 {
-    ServiceLine *line = lineOf(attempt.service);
+    ServiceState *state = findService(attempt.service);
     if (Target *target = m_context.targets.find(attempt.target); target != nullptr) {
         recordAnswer(*target);
     }
@@ -211,9 +211,9 @@
             // The slot that ran it has just become free.
             ++executor->freeSlots[value(attempt.service)];
         }
-        if (line != nullptr) {
+        if (state != nullptr) {
             const auto took = static_cast<double>((now - attempt.started).count());
-            line->serviceTime += ServiceTimeGain * (took - line->serviceTime);
+            state->meanMicroseconds += MeanServiceTimeGain * (took - state->meanMicroseconds);
         }
         std::vector<Message> messages;
         std::vector<Bytes> &parts = attempt.assembly.parts();
@@ -229,16 +229,16 @@
                            .request = key.request,
                            .target = attempt.target,
                            .took = now - attempt.started});
-        settle(now, key, std::move(messages));
+        complete(now, key, std::move(messages));
     }
     m_attempts.erase(serial);
-    if (line != nullptr) {
-        pump(now, *line);
+    if (state != nullptr) {
+        dispatchQueued(now, *state);
     }
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::takeRefusal(TimePoint now, const RunRefused &refusal)
+void RequestEngine<Policy>::handleRunRefused(TimePoint now, const RunRefused &refusal)
 {
     const auto at = m_attempts.find(refusal.attempt.serial);
     if (at == m_attempts.end() || at->second.assembly.started()) {
@@ -261,9 +261,9 @@
     pending->second.attempt = 0;
     if (attempt.kind == AttemptKind::Offloaded) {
         recordFreeSlots(now, attempt.executor.id, attempt.service, 0);
-        if (ServiceLine *line = lineOf(attempt.service); line != nullptr) {
-            line->queue.pushFront(pending->second.caller.address, attempt.request);
-            pump(now, *line);
+        if (ServiceState *state = findService(attempt.service); state != nullptr) {
+            state->queue.pushFront(pending->second.caller.address, attempt.request);
+            dispatchQueued(now, *state);
         }
         return;
     }
@@ -274,22 +274,22 @@
 template<SlotPolicy Policy>
 void RequestEngine<Policy>::retryOrRefuse(TimePoint now, RequestKey key, Pending &pending, RefusalReason reason)
 {
-    ServiceLine *line = lineOf(pending.service);
+    ServiceState *state = findService(pending.service);
     const std::span<Target> targets = m_context.targets.targetsOf(pending.service);
-    const bool another = std::any_of(targets.begin(), targets.end(), [&pending](const Target &target) {
+    const bool hasAlternative = std::any_of(targets.begin(), targets.end(), [&pending](const Target &target) {
         const bool avoided = std::find(pending.avoid.begin(), pending.avoid.end(), target.id()) != pending.avoid.end();
         return !avoided && target.state == TargetState::Serving && target.announcement.service == pending.service;
     });
-    if (line == nullptr || !another) {
-        return giveUp(now, key, reason, NoTargetRetryAfter);
+    if (state == nullptr || !hasAlternative) {
+        return refuse(now, key, reason, NoTargetRetryAfter);
     }
-    if (!line->budget.take()) {
-        return giveUp(now, key, reason, retryAfter(now, *line));
+    if (!state->budget.tryConsume()) {
+        return refuse(now, key, reason, retryAfter(now, *state));
     }
     ++m_context.counters.retries;
     m_context.observe({.kind = EventKind::RequestRetried, .at = now, .service = pending.service, .flow = key.flow, .request = key.request});
-    line->queue.pushFront(pending.caller.address, key);
-    pump(now, *line);
+    state->queue.pushFront(pending.caller.address, key);
+    dispatchQueued(now, *state);
 }
 
 template class RequestEngine<OptimisticSlots>;
--- a/src/request_engine.cpp
+++ b/src/request_engine.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 // What may be said of a request that is given up: "not run" only if nothing can have run it.
-Outcome outcomeOf(bool surelyNotRun, bool repeatable, RefusalReason reason)
+Outcome outcomeOf(bool provenNotRun, bool repeatable, RefusalReason reason)
 {
-    if (surelyNotRun) {
+    if (provenNotRun) {
         return Outcome::NotRun;
     }
     return repeatable && reason == RefusalReason::Deadline ? Outcome::DeadlinePassed : Outcome::OutcomeUnknown;
@@ -33,23 +33,23 @@
 template<SlotPolicy Policy>
 void RequestEngine<Policy>::applyServices(std::span<const ServiceSettings> services)
 {
-    std::unordered_map<std::uint16_t, ServiceLine> lines;
+    std::unordered_map<std::uint16_t, ServiceState> states;
     for (const ServiceSettings &settings : services) {
-        ServiceLine &line = lines[value(settings.id)];
-        if (ServiceLine *known = lineOf(settings.id); known != nullptr) {
-            line = std::move(*known);
+        ServiceState &state = states[value(settings.id)];
+        if (ServiceState *known = findService(settings.id); known != nullptr) {
+            state = std::move(*known);
         } else {
-            line.budget = RetryBudget(settings.retryRatio);
+            state.budget = RetryBudget(settings.retryRatio);
         }
-        line.settings = settings;
+        state.settings = settings;
     }
-    m_lines = std::move(lines);
+    m_services = std::move(states);
 }
 
 template<SlotPolicy Policy>
 bool RequestEngine<Policy>::knowsService(ServiceId service) const
 {
-    return m_lines.contains(value(service));
+    return m_services.contains(value(service));
 }
 
 // ---- Admission ----
@@ -60,15 +60,15 @@
     Flow *flow = m_context.flows.find(flowId);
     assert(flow != nullptr);
     const RequestKey key{flowId, request.request};
-    if (flow->window.take(request.request) != RequestAge::Fresh) {
+    if (flow->window.record(request.request) != RequestAge::Fresh) {
         ++m_context.counters.duplicatesDropped;
         if (!isPending(key) && !resend(key, caller)) {
-            refuseUncertain(flowId, caller, request.request, RefusalReason::ForgottenFlow);
+            refuseOutcomeUnknown(flowId, caller, request.request, RefusalReason::ForgottenFlow);
         }
         return;
     }
     ++m_context.counters.requestsAccepted;
-    ++flow->busy;
+    ++flow->activeRequests;
     const Duration timeLeft = std::min(request.timeLeft, MaxTimeLeft);
     Pending &pending = m_pending[key];
     pending.service = flow->service;
@@ -76,59 +76,59 @@
     pending.deadline = now + timeLeft;
     pending.repeatable = request.repeatable;
     pending.body = request.body;
-    ServiceLine *line = lineOf(flow->service);
+    ServiceState *state = findService(flow->service);
     if (request.body.size() > MaxBodySize) {
-        return giveUp(now, key, RefusalReason::BadRequest, Duration::zero());
+        return refuse(now, key, RefusalReason::BadRequest, Duration::zero());
     }
     if (timeLeft <= Duration::zero()) {
-        return giveUp(now, key, RefusalReason::Deadline, MinRetryAfter);
+        return refuse(now, key, RefusalReason::Deadline, MinRetryAfter);
     }
-    if (line == nullptr || !anyServing(m_context.targets.targetsOf(flow->service), flow->service)) {
-        return giveUp(now, key, RefusalReason::NoTarget, NoTargetRetryAfter);
+    if (state == nullptr || !anyServing(m_context.targets.targetsOf(flow->service), flow->service)) {
+        return refuse(now, key, RefusalReason::NoTarget, NoTargetRetryAfter);
     }
-    line->budget.recordRequest();
+    state->budget.recordRequest();
     m_timers.push({pending.deadline, TimerKind::RequestDeadline, 0, key});
-    queueOrShed(now, key, pending, *line);
+    queueOrShed(now, key, pending, *state);
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::queueOrShed(TimePoint now, RequestKey key, Pending &pending, ServiceLine &line)
+void RequestEngine<Policy>::queueOrShed(TimePoint now, RequestKey key, Pending &pending, ServiceState &state)
 {
-    const Duration limit = std::min(line.settings.maxQueueDelay, pending.deadline - now - line.usualTime());
+    const Duration limit = std::min(state.settings.maxQueueDelay, pending.deadline - now - state.meanServiceTime());
     const std::uint32_t caller = pending.caller.address;
-    if (line.queue.size() > 0 && estimateWait(now, line) > limit) {
-        const std::optional<RequestKey> victim = line.queue.evictFor(caller);
-        const Duration pause = retryAfter(now, line);
+    if (state.queue.size() > 0 && estimateWait(now, state) > limit) {
+        const std::optional<RequestKey> victim = state.queue.evictFor(caller);
+        const Duration pause = retryAfter(now, state);
         if (!victim) {
-            return giveUp(now, key, RefusalReason::Overload, pause);
+            return refuse(now, key, RefusalReason::Overload, pause);
         }
-        giveUp(now, *victim, RefusalReason::Overload, pause);
+        refuse(now, *victim, RefusalReason::Overload, pause);
     }
-    line.queue.push(caller, key);
+    state.queue.push(caller, key);
     m_context.observe({.kind = EventKind::RequestQueued, .at = now, .service = pending.service, .flow = key.flow, .request = key.request});
-    pump(now, line);
+    dispatchQueued(now, state);
 }
 
 template<SlotPolicy Policy>
-Duration RequestEngine<Policy>::estimateWait(TimePoint now, const ServiceLine &line) const
+Duration RequestEngine<Policy>::estimateWait(TimePoint now, const ServiceState &state) const
 {
-    const std::span<const Target> targets = m_context.targets.targetsOf(line.settings.id);
-    std::uint32_t share = std::max(1U, countAssignedSlots(targets, line.settings.id));
+    const std::span<const Target> targets = m_context.targets.targetsOf(state.settings.id);
+    std::uint32_t share = std::max(1U, countAssignedSlots(targets, state.settings.id));
     if (Policy::OffloadsToPeers) {
         // What waits here may run at any balancer, so a small own share alone does not mean a long wait.
-        share = std::max(share, countUsableSlots(targets, line.settings.id, now) / m_memberCount);
+        share = std::max(share, countUsableSlots(targets, state.settings.id, now) / m_memberCount);
     }
-    return Duration(static_cast<std::int64_t>(static_cast<double>(line.queue.size()) * line.serviceTime / share));
+    return Duration(static_cast<std::int64_t>(static_cast<double>(state.queue.size()) * state.meanMicroseconds / share));
 }
 
 template<SlotPolicy Policy>
-Duration RequestEngine<Policy>::retryAfter(TimePoint now, const ServiceLine &line) const
+Duration RequestEngine<Policy>::retryAfter(TimePoint now, const ServiceState &state) const
 {
-    return std::max(MinRetryAfter, estimateWait(now, line));
+    return std::max(MinRetryAfter, estimateWait(now, state));
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::refuseUncertain(FlowId flow, Endpoint caller, RequestId request, RefusalReason reason)
+void RequestEngine<Policy>::refuseOutcomeUnknown(FlowId flow, Endpoint caller, RequestId request, RefusalReason reason)
 {
     ++m_context.counters.outcomes[static_cast<std::size_t>(Outcome::OutcomeUnknown)];
     m_context.send(caller, Refusal{flow, request, Outcome::OutcomeUnknown, reason, Duration::zero()});
@@ -137,7 +137,7 @@
 template<SlotPolicy Policy>
 bool RequestEngine<Policy>::resend(RequestKey key, Endpoint caller)
 {
-    const std::span<const Message> messages = m_settled.find(key);
+    const std::span<const Message> messages = m_answerCache.find(key);
     for (const Message &message : messages) {
         m_context.send(caller, message);
     }
@@ -153,7 +153,7 @@
 // ---- Ends ----
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::giveUp(TimePoint now, RequestKey key, RefusalReason reason, Duration retryAfter)
+void RequestEngine<Policy>::refuse(TimePoint now, RequestKey key, RefusalReason reason, Duration retryAfter)
 {
     const auto at = m_pending.find(key);
     if (at == m_pending.end()) {
@@ -161,7 +161,7 @@
     }
     const Pending &pending = at->second;
     if (pending.attempt != 0) {
-        abandonAttempt(pending.attempt);
+        cancelAttempt(pending.attempt);
     }
     const Outcome outcome = outcomeOf(pending.unresolvedAttempts == 0, pending.repeatable, reason);
     ++m_context.counters.outcomes[static_cast<std::size_t>(outcome)];
@@ -171,21 +171,21 @@
                        .flow = key.flow,
                        .request = key.request,
                        .detail = static_cast<std::uint8_t>(outcome)});
-    settle(now, key, {Refusal{key.flow, key.request, outcome, reason, retryAfter}});
+    complete(now, key, {Refusal{key.flow, key.request, outcome, reason, retryAfter}});
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::settle(TimePoint now, RequestKey key, std::vector<Message> messages)
+void RequestEngine<Policy>::complete(TimePoint now, RequestKey key, std::vector<Message> messages)
 {
     const auto at = m_pending.find(key);
     for (const Message &message : messages) {
         m_context.send(at->second.caller, message);
     }
     m_pending.erase(at);
-    m_settled.remember(now, key, std::move(messages));
+    m_answerCache.insert(now, key, std::move(messages));
     if (Flow *flow = m_context.flows.find(key.flow); flow != nullptr) {
-        assert(flow->busy > 0);
-        --flow->busy;
+        assert(flow->activeRequests > 0);
+        --flow->activeRequests;
         flow->lastActive = CoarseTime(now);
     }
 }
@@ -193,11 +193,11 @@
 template<SlotPolicy Policy>
 void RequestEngine<Policy>::cancel(TimePoint now, RequestKey key)
 {
-    giveUp(now, key, RefusalReason::Cancelled, Duration::zero());
+    refuse(now, key, RefusalReason::Cancelled, Duration::zero());
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::abandonAttempt(std::uint64_t serial)
+void RequestEngine<Policy>::cancelAttempt(std::uint64_t serial)
 {
     const auto at = m_attempts.find(serial);
     if (at == m_attempts.end()) {
@@ -229,13 +229,13 @@
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::attemptLost(TimePoint now, std::uint64_t serial)
+void RequestEngine<Policy>::failAttempt(TimePoint now, std::uint64_t serial)
 {
     const Attempt &attempt = m_attempts.at(serial);
     const RequestKey key = attempt.request;
     const TargetId target = attempt.target;
     const bool hosted = attempt.kind == AttemptKind::Hosted;
-    abandonAttempt(serial);
+    cancelAttempt(serial);
     if (hosted) {
         return;
     }
@@ -245,20 +245,20 @@
     if (pending.repeatable) {
         retryOrRefuse(now, key, pending, RefusalReason::TargetLost);
     } else {
-        giveUp(now, key, RefusalReason::TargetLost, MinRetryAfter);
+        refuse(now, key, RefusalReason::TargetLost, MinRetryAfter);
     }
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::attemptExpired(TimePoint now, std::uint64_t serial)
+void RequestEngine<Policy>::onAttemptTimeout(TimePoint now, std::uint64_t serial)
 {
     if (m_attempts.contains(serial)) {
-        attemptLost(now, serial);
+        failAttempt(now, serial);
     }
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::peerGone(TimePoint now, BalancerKey peer)
+void RequestEngine<Policy>::onPeerLost(TimePoint now, BalancerKey peer)
 {
     std::vector<std::uint64_t> lost;
     for (const auto &[serial, attempt] : m_attempts) {
@@ -269,13 +269,13 @@
     std::sort(lost.begin(), lost.end());
     for (const std::uint64_t serial : lost) {
         if (m_attempts.contains(serial)) {
-            attemptLost(now, serial);
+            failAttempt(now, serial);
         }
     }
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::targetLost(TimePoint now, TargetId target)
+void RequestEngine<Policy>::onTargetLost(TimePoint now, TargetId target)
 {
     std::vector<std::uint64_t> lost;
     for (const auto &[serial, attempt] : m_attempts) {
@@ -286,7 +286,7 @@
     std::sort(lost.begin(), lost.end());
     for (const std::uint64_t serial : lost) {
         if (m_attempts.contains(serial)) {
-            attemptLost(now, serial);
+            failAttempt(now, serial);
         }
     }
 }
@@ -296,22 +296,22 @@
 template<SlotPolicy Policy>
 void RequestEngine<Policy>::tick(TimePoint now)
 {
-    deal(now);
+    assignSlots(now);
     runTimers(now);
-    m_settled.expire(now);
+    m_answerCache.expire(now);
     if (Policy::OffloadsToPeers) {
-        renewProbes();
+        resetProbes();
     }
-    for (auto &[service, line] : m_lines) {
-        if (line.queue.size() > 0) {
-            pump(now, line);
+    for (auto &[service, state] : m_services) {
+        if (state.queue.size() > 0) {
+            dispatchQueued(now, state);
         }
     }
 }
 
 // A balancer without any slot of its own, as while it stops, can only go on asking; once a tick is enough.
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::renewProbes()
+void RequestEngine<Policy>::resetProbes()
 {
     for (auto &[key, pending] : m_pending) {
         if (pending.attempt == 0 && countAssignedSlots(m_context.targets.targetsOf(pending.service), pending.service) == 0) {
@@ -328,26 +328,26 @@
         m_timers.pop();
         switch (timer.kind) {
         case TimerKind::RequestDeadline:
-            deadlineOver(now, timer.request);
+            onRequestDeadline(now, timer.request);
             break;
         case TimerKind::SlotHold:
-            slotHoldOver(now, timer.serial);
+            onSlotHoldTimeout(now, timer.serial);
             break;
         case TimerKind::AttemptEnd:
-            attemptExpired(now, timer.serial);
+            onAttemptTimeout(now, timer.serial);
             break;
         }
     }
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::deadlineOver(TimePoint now, RequestKey key)
+void RequestEngine<Policy>::onRequestDeadline(TimePoint now, RequestKey key)
 {
-    giveUp(now, key, RefusalReason::Deadline, MinRetryAfter);
+    refuse(now, key, RefusalReason::Deadline, MinRetryAfter);
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::slotHoldOver(TimePoint now, std::uint64_t serial)
+void RequestEngine<Policy>::onSlotHoldTimeout(TimePoint now, std::uint64_t serial)
 {
     const auto at = m_attempts.find(serial);
     if (at == m_attempts.end()) {
@@ -357,37 +357,37 @@
         recordNoAnswer(*target);
     }
     releaseSlot(at->second);
-    if (ServiceLine *line = lineOf(at->second.service); line != nullptr) {
-        pump(now, *line);
+    if (ServiceState *state = findService(at->second.service); state != nullptr) {
+        dispatchQueued(now, *state);
     }
 }
 
 template<SlotPolicy Policy>
-void RequestEngine<Policy>::deal(TimePoint now)
+void RequestEngine<Policy>::assignSlots(TimePoint now)
 {
-    const bool changed = m_dealtTargets != m_context.targets.version() || m_dealtPeers != m_context.peers.version();
-    if (!changed && now > m_warmUntil && !std::is_same_v<Policy, OptimisticSlots>) {
+    const bool changed = m_assignedTargetVersion != m_context.targets.version() || m_assignedPeerVersion != m_context.peers.version();
+    if (!changed && now > m_slowStartUntil && !std::is_same_v<Policy, OptimisticSlots>) {
         return;
     }
-    m_dealtTargets = m_context.targets.version();
-    m_dealtPeers = m_context.peers.version();
-    m_warmUntil = changed ? now + SlowStartTime + HeartbeatInterval : m_warmUntil;
+    m_assignedTargetVersion = m_context.targets.version();
+    m_assignedPeerVersion = m_context.peers.version();
+    m_slowStartUntil = changed ? now + SlowStartTime + HeartbeatInterval : m_slowStartUntil;
     const std::vector<PeerTable::Member> members = m_context.peers.members();
     m_memberCount = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(members.size()));
     std::unordered_map<std::uint16_t, std::vector<Target *>> byService;
     for (Target &target : m_context.targets.targets()) {
-        target.share = 0;
+        target.assignedSlots = 0;
         if (target.state == TargetState::Serving) {
             byService[value(target.announcement.service)].push_back(&target);
         }
     }
     for (auto &[service, targets] : byService) {
-        Policy::deal(targets, members, m_context.peers.self().id, now);
+        Policy::assignSlots(targets, members, m_context.peers.self().id, now);
     }
 }
 
 template<SlotPolicy Policy>
-std::uint16_t RequestEngine<Policy>::spareSlots(ServiceId service, TimePoint now) const
+std::uint16_t RequestEngine<Policy>::offloadableSlots(ServiceId service, TimePoint now) const
 {
     if (!Policy::OffloadsToPeers || m_context.peers.stopping() || queued(service) > 0) {
         return 0;
@@ -404,15 +404,15 @@
 template<SlotPolicy Policy>
 std::size_t RequestEngine<Policy>::queued(ServiceId service) const
 {
-    const auto line = m_lines.find(value(service));
-    return line != m_lines.end() ? line->second.queue.size() : 0;
+    const auto state = m_services.find(value(service));
+    return state != m_services.end() ? state->second.queue.size() : 0;
 }
 
 template<SlotPolicy Policy>
-typename RequestEngine<Policy>::ServiceLine *RequestEngine<Policy>::lineOf(ServiceId service)
+typename RequestEngine<Policy>::ServiceState *RequestEngine<Policy>::findService(ServiceId service)
 {
-    const auto line = m_lines.find(value(service));
-    return line != m_lines.end() ? &line->second : nullptr;
+    const auto state = m_services.find(value(service));
+    return state != m_services.end() ? &state->second : nullptr;
 }
 
 template class RequestEngine<OptimisticSlots>;
--- a/src/request_engine.h
+++ b/src/request_engine.h
@@ -59,42 +59,42 @@
     bool isPending(RequestKey key) const;
 
     // Refuses a request without any state, in the one way that is true whatever became of it.
-    void refuseUncertain(FlowId flow, Endpoint caller, RequestId request, RefusalReason reason);
+    void refuseOutcomeUnknown(FlowId flow, Endpoint caller, RequestId request, RefusalReason reason);
 
     void cancel(TimePoint now, RequestKey key);
 
     // Answers of targets and peers to attempts of this balancer.
-    void takePart(TimePoint now, const RunPart &part);
-    void takeRefusal(TimePoint now, const RunRefused &refusal);
+    void handleRunPart(TimePoint now, const RunPart &part);
+    void handleRunRefused(TimePoint now, const RunRefused &refusal);
 
     // A peer asks to run an attempt here, or to stop one.
-    void takeOffload(TimePoint now, Endpoint peer, const OffloadRequest &offload);
+    void handleOffload(TimePoint now, Endpoint peer, const OffloadRequest &offload);
     void cancelHosted(const CancelRun &cancel);
 
     void recordFreeSlots(TimePoint now, BalancerId peer, ServiceId service, std::uint16_t freeSlots);
-    void peerGone(TimePoint now, BalancerKey peer);
-    void targetLost(TimePoint now, TargetId target);
+    void onPeerLost(TimePoint now, BalancerKey peer);
+    void onTargetLost(TimePoint now, TargetId target);
 
     // Deals slots anew if members or targets changed, and runs what was due.
     void tick(TimePoint now);
 
     // Free slots that a peer may ask for: none while requests of this balancer wait.
-    std::uint16_t spareSlots(ServiceId service, TimePoint now) const;
+    std::uint16_t offloadableSlots(ServiceId service, TimePoint now) const;
 
     // Whether no request waits or runs here, for itself or for a peer.
     bool idle() const;
     std::size_t queued(ServiceId service) const;
 
 private:
-    struct ServiceLine {
+    struct ServiceState {
         ServiceSettings settings;
         FairQueue<RequestKey> queue;
         RetryBudget budget;
-        double serviceTime = InitialServiceTime; // Moving average, microseconds.
+        double meanMicroseconds = InitialMeanMicroseconds; // Moving average, microseconds.
 
-        Duration usualTime() const
+        Duration meanServiceTime() const
         {
-            return Duration(static_cast<std::int64_t>(serviceTime));
+            return Duration(static_cast<std::int64_t>(meanMicroseconds));
         }
     };
 
@@ -144,45 +144,45 @@
         auto operator<=>(const Timer &) const = default;
     };
 
-    static constexpr double InitialServiceTime = 50'000;
-    static constexpr double ServiceTimeGain = 0.05;
-
-    ServiceLine *lineOf(ServiceId service);
-    void queueOrShed(TimePoint now, RequestKey key, Pending &pending, ServiceLine &line);
-    Duration estimateWait(TimePoint now, const ServiceLine &line) const;
-    Duration retryAfter(TimePoint now, const ServiceLine &line) const;
-    void pump(TimePoint now, ServiceLine &line);
-    bool place(TimePoint now, RequestKey key, Pending &pending, ServiceLine &line);
-    void sendAttempt(TimePoint now, RequestKey key, Pending &pending, Target &target, const ServiceLine &line);
-    void occupy(TimePoint now, Attempt &attempt, std::uint64_t serial, Target &target, const ServiceLine &line);
-    void limitAttempt(TimePoint now, const Pending &pending, std::uint64_t serial, const ServiceLine &line);
-    bool offload(TimePoint now, RequestKey key, Pending &pending, ServiceLine &line);
+    static constexpr double InitialMeanMicroseconds = 50'000;
+    static constexpr double MeanServiceTimeGain = 0.05;
+
+    ServiceState *findService(ServiceId service);
+    void queueOrShed(TimePoint now, RequestKey key, Pending &pending, ServiceState &state);
+    Duration estimateWait(TimePoint now, const ServiceState &state) const;
+    Duration retryAfter(TimePoint now, const ServiceState &state) const;
+    void dispatchQueued(TimePoint now, ServiceState &state);
+    bool dispatch(TimePoint now, RequestKey key, Pending &pending, ServiceState &state);
+    void sendAttempt(TimePoint now, RequestKey key, Pending &pending, Target &target, const ServiceState &state);
+    void acquireSlot(TimePoint now, Attempt &attempt, std::uint64_t serial, Target &target, const ServiceState &state);
+    void startAttemptTimeout(TimePoint now, const Pending &pending, std::uint64_t serial, const ServiceState &state);
+    bool offload(TimePoint now, RequestKey key, Pending &pending, ServiceState &state);
     Peer *choosePeer(ServiceId service, std::uint64_t salt, bool mayProbe);
 
-    void answer(TimePoint now, std::uint64_t serial, Attempt &attempt);
+    void completeAttempt(TimePoint now, std::uint64_t serial, Attempt &attempt);
     void retryOrRefuse(TimePoint now, RequestKey key, Pending &pending, RefusalReason reason);
-    void giveUp(TimePoint now, RequestKey key, RefusalReason reason, Duration retryAfter);
-    void settle(TimePoint now, RequestKey key, std::vector<Message> messages);
-    void abandonAttempt(std::uint64_t serial);
+    void refuse(TimePoint now, RequestKey key, RefusalReason reason, Duration retryAfter);
+    void complete(TimePoint now, RequestKey key, std::vector<Message> messages);
+    void cancelAttempt(std::uint64_t serial);
     void releaseSlot(Attempt &attempt);
-    void slotHoldOver(TimePoint now, std::uint64_t serial);
-    void deadlineOver(TimePoint now, RequestKey key);
-    void attemptLost(TimePoint now, std::uint64_t serial);
-    void attemptExpired(TimePoint now, std::uint64_t serial);
+    void onSlotHoldTimeout(TimePoint now, std::uint64_t serial);
+    void onRequestDeadline(TimePoint now, RequestKey key);
+    void failAttempt(TimePoint now, std::uint64_t serial);
+    void onAttemptTimeout(TimePoint now, std::uint64_t serial);
     void runTimers(TimePoint now);
-    void renewProbes();
-    void deal(TimePoint now);
+    void resetProbes();
+    void assignSlots(TimePoint now);
 
     BalancerContext &m_context;
-    std::unordered_map<std::uint16_t, ServiceLine> m_lines; // By service.
+    std::unordered_map<std::uint16_t, ServiceState> m_services; // By service.
     std::unordered_map<RequestKey, Pending, RequestKeyHash> m_pending;
     std::unordered_map<std::uint64_t, Attempt> m_attempts;
-    OffloadDeduplicator m_offloads;
+    OffloadDeduplicator m_offloadDeduplicator;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> m_timers;
-    AnswerCache m_settled;
-    std::uint64_t m_dealtTargets = 0;
-    std::uint64_t m_dealtPeers = 0;
-    TimePoint m_warmUntil;
+    AnswerCache m_answerCache;
+    std::uint64_t m_assignedTargetVersion = 0;
+    std::uint64_t m_assignedPeerVersion = 0;
+    TimePoint m_slowStartUntil;
     std::uint32_t m_memberCount = 1;
 };
 
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -25,7 +25,7 @@
     }
 
     // Takes one retry; false if the budget is spent.
-    bool take()
+    bool tryConsume()
     {
         if (m_tokens < 1.0) {
             return false;
--- a/src/settled_answers.cpp
+++ b/src/settled_answers.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void AnswerCache::remember(TimePoint now, RequestKey key, std::vector<Message> messages)
+void AnswerCache::insert(TimePoint now, RequestKey key, std::vector<Message> messages)
 {
     const std::size_t bytes = bodyBytes(messages);
     if (!m_messages.emplace(key, std::move(messages)).second) {
--- a/src/settled_answers.h
+++ b/src/settled_answers.h
@@ -37,7 +37,7 @@
 class AnswerCache
 {
 public:
-    void remember(TimePoint now, RequestKey key, std::vector<Message> messages);
+    void insert(TimePoint now, RequestKey key, std::vector<Message> messages);
 
     // The messages of a settled request; empty if it is not held (any more).
     std::span<const Message> find(RequestKey key) const;
--- a/src/slot_policy.h
+++ b/src/slot_policy.h
@@ -19,32 +19,32 @@
     {
         Policy::OffloadsToPeers
         } -> std::convertible_to<bool>;
-    Policy::deal(targets, members, self, now);
+    Policy::assignSlots(targets, members, self, now);
 };
 
 // Every balancer fills any free slot that it knows of: the target's slots less its own attempts, less
 // what the target last reported of others. Reports lag, so targets refuse the surplus.
 struct OptimisticSlots {
     static constexpr bool OffloadsToPeers = false;
-    static void deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
+    static void assignSlots(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
 
 // Each target belongs to one balancer, which alone fills its slots.
 struct PartitionedTargets {
     static constexpr bool OffloadsToPeers = true;
-    static void deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
+    static void assignSlots(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
 
 // Each single slot belongs to one balancer; nothing is moved between balancers.
 struct PartitionedSlotsNoOffload {
     static constexpr bool OffloadsToPeers = false;
-    static void deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
+    static void assignSlots(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
 
 // Each single slot belongs to one balancer, and a balancer without a free one asks a peer that has.
 struct PartitionedSlots {
     static constexpr bool OffloadsToPeers = true;
-    static void deal(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
+    static void assignSlots(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
 
 } // namespace Robinrail
--- a/src/target_choice.cpp
+++ b/src/target_choice.cpp
@@ -21,7 +21,7 @@
 
 bool hasFreeSlot(const Target &target, ServiceId service, TimePoint now)
 {
-    return serves(target, service) && target.running < target.share && acceptsAttempt(target, now);
+    return serves(target, service) && target.running < target.assignedSlots && acceptsAttempt(target, now);
 }
 
 // Fill of a target as a fraction of the whole host, so that hosts fill evenly also with uneven shares.
@@ -51,8 +51,8 @@
         const double weight = usableSlots(target, now);
         const double bound = std::ceil(LoadBound * totalFeeds * weight / totalWeight);
         const std::size_t connectionShare = target.announcement.connections / std::max<std::size_t>(1, members);
-        const bool answers = target.id() != avoid && target.unansweredAttempts < UnansweredAttemptLimit;
-        const std::pair rank(answers, rendezvousScore(value(flow), value(target.id()), weight));
+        const bool responsive = target.id() != avoid && target.unansweredAttempts < UnansweredAttemptLimit;
+        const std::pair rank(responsive, rendezvousScore(value(flow), value(target.id()), weight));
         if (target.feeds < bound && target.feeds < connectionShare && (best == nullptr || rank > bestRank)) {
             best = &target;
             bestRank = rank;
@@ -81,7 +81,7 @@
     std::uint32_t free = 0;
     for (const Target &target : targets) {
         if (hasFreeSlot(target, service, now)) {
-            free += target.share - target.running;
+            free += target.assignedSlots - target.running;
         }
     }
     return free;
@@ -91,7 +91,7 @@
 {
     std::uint32_t share = 0;
     for (const Target &target : targets) {
-        share += serves(target, service) ? target.share : 0U;
+        share += serves(target, service) ? target.assignedSlots : 0U;
     }
     return share;
 }
--- a/src/target_table.cpp
+++ b/src/target_table.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-auto orderOf(const Announcement &announcement)
+auto versionOf(const Announcement &announcement)
 {
     return std::pair(announcement.incarnation, announcement.sequence);
 }
 
-auto placeOf(const Announcement &announcement)
+auto sortKeyOf(const Announcement &announcement)
 {
     return std::pair(announcement.service, announcement.target);
 }
@@ -22,7 +22,7 @@
 auto lowerBound(auto &targets, ServiceId service, TargetId id)
 {
     return std::lower_bound(targets.begin(), targets.end(), std::pair(service, id), [](const Target &target, const auto &wanted) {
-        return placeOf(target.announcement) < wanted;
+        return sortKeyOf(target.announcement) < wanted;
     });
 }
 
@@ -50,7 +50,7 @@
         // A balancer that joined late learns here that the target is warm already.
         known->firstHeard = std::min(known->firstHeard, now - knownFor);
     }
-    if (known != nullptr && orderOf(announcement) <= orderOf(known->announcement)) {
+    if (known != nullptr && versionOf(announcement) <= versionOf(known->announcement)) {
         // Draining is taken at any sequence of the incarnation: an operator may have asked for it at a peer.
         const bool drains = announcement.draining && !known->announcement.draining && known->state == TargetState::Serving;
         if (!drains || announcement.incarnation != known->announcement.incarnation) {
@@ -61,11 +61,11 @@
         ++m_version;
         return AnnouncementEffect::Drained;
     }
-    const bool sameRun = known != nullptr && known->announcement.incarnation == announcement.incarnation;
+    const bool sameIncarnation = known != nullptr && known->announcement.incarnation == announcement.incarnation;
     Target &target = known != nullptr ? *known : insert(announcement);
-    const bool wasDraining = sameRun && target.announcement.draining;
+    const bool wasDraining = sameIncarnation && target.announcement.draining;
     const TargetState before = target.state;
-    if (!sameRun) {
+    if (!sameIncarnation) {
         target.firstHeard = now - knownFor;
         target.backoffUntil = now;
         target.refusalBackoff = RefusalBackoff;
@@ -80,7 +80,7 @@
         m_version += news ? 1 : 0;
         return news ? AnnouncementEffect::Drained : AnnouncementEffect::Renewed;
     }
-    const bool joined = !sameRun || before != TargetState::Serving;
+    const bool joined = !sameIncarnation || before != TargetState::Serving;
     m_version += joined ? 1 : 0;
     return joined ? AnnouncementEffect::Joined : AnnouncementEffect::Renewed;
 }
--- a/src/target_table.h
+++ b/src/target_table.h
@@ -42,7 +42,7 @@
     Duration refusalBackoff = RefusalBackoff;
     int unansweredAttempts = 0;
     std::uint64_t lastAttempt = 0; // Serial of the newest attempt; the least recently used target goes first.
-    std::uint16_t share = 0; // Slots dealt to this balancer.
+    std::uint16_t assignedSlots = 0; // Slots dealt to this balancer.
     std::uint16_t running = 0; // Attempts of this balancer.
     std::uint32_t feeds = 0; // Feeds attached by this balancer.
 
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -37,15 +37,15 @@
 }
 
 mutate "no request window" src/request_engine.cpp \
-    'if (flow->window.take(request.request) != RequestAge::Fresh) {' \
-    'if (flow->window.take(request.request) != RequestAge::Fresh && (isPending(key) || !m_settled.find(key).empty())) {' \
+    'if (flow->window.record(request.request) != RequestAge::Fresh) {' \
+    'if (flow->window.record(request.request) != RequestAge::Fresh && (isPending(key) || !m_answerCache.find(key).empty())) {' \
     '*repeated packet*,*tenth of the packets*'
 mutate "no check of the service in the id" src/balancer_core.cpp 'if (id->service != service) {' 'if (id->service != service && value(service) == 0) {' \
     '*never reaches another*'
 mutate "no check of the MAC" src/connection_id.cpp \
     'if (sodium_memcmp(mac.data(), sealed.data() + ConnectionIdContentSize, mac.size()) != 0) {' 'if (mac.empty()) {' '*1.2 million*'
 mutate "adopters run requests of the old id" src/balancer_core.cpp \
-    'm_requests.refuseUncertain(id.flow, packet.caller, request->request, RefusalReason::OwnerGone);' \
+    'm_requests.refuseOutcomeUnknown(id.flow, packet.caller, request->request, RefusalReason::OwnerGone);' \
     'm_requests.accept(now, flowId, packet.caller, *request);' '*two views*,*owner is gone*'
 mutate "drain of a target ignored" src/target_table.cpp \
     'target.announcement.draining = announcement.draining || wasDraining;' 'target.announcement.draining = wasDraining;' \
--- a/tests/test_balancer.cpp
+++ b/tests/test_balancer.cpp
@@ -16,15 +16,15 @@
 constexpr ServiceId DocVault{2};
 
 // One balancer with its outbox at hand.
-class Bench
+class BalancerFixture
 {
 public:
-    explicit Bench(std::uint16_t id = 1)
+    explicit BalancerFixture(std::uint16_t id = 1)
         : core(settingsOf(id))
     {
         const ServiceSettings services[] = {{RateDesk, "rate-desk"}, {DocVault, "doc-vault"}};
         core.applyBundle(now, 1, services);
-        pass(Duration(0));
+        advance(Duration(0));
     }
 
     static BalancerSettings settingsOf(std::uint16_t id)
@@ -36,7 +36,7 @@
         return settings;
     }
 
-    void pass(Duration duration)
+    void advance(Duration duration)
     {
         now += duration;
         core.tick(now);
@@ -54,7 +54,7 @@
         announcement.connections = 2000;
         announcement.draining = draining;
         core.handleTarget(now, announcement.endpoint, announcement);
-        pass(Duration(0));
+        advance(Duration(0));
     }
 
     FlowOpened open()
@@ -108,79 +108,79 @@
 
 TEST_CASE("a request is answered with all its parts")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    const FlowOpened flow = bench.open();
-    bench.send(bench.request(flow, 1));
-    const RunRequest run = bench.take<RunRequest>().value();
-    bench.core.handleTarget(bench.now, TargetEndpoint, RunPart{run.attempt, 1, 2, {8}});
-    CHECK_FALSE(bench.take<AnswerPart>());
-    bench.core.handleTarget(bench.now, TargetEndpoint, RunPart{run.attempt, 0, 2, {7}});
-    CHECK(bench.take<AnswerPart>()->body == Bytes{7});
-    CHECK(bench.take<AnswerPart>()->body == Bytes{8});
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    const FlowOpened flow = fixture.open();
+    fixture.send(fixture.request(flow, 1));
+    const RunRequest run = fixture.take<RunRequest>().value();
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, RunPart{run.attempt, 1, 2, {8}});
+    CHECK_FALSE(fixture.take<AnswerPart>());
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, RunPart{run.attempt, 0, 2, {7}});
+    CHECK(fixture.take<AnswerPart>()->body == Bytes{7});
+    CHECK(fixture.take<AnswerPart>()->body == Bytes{8});
 }
 
 TEST_CASE("a repeated packet runs nothing twice and gets the same answer again")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    const FlowOpened flow = bench.open();
-    const Request request = bench.request(flow, 1);
-    bench.send(request);
-    const RunRequest run = bench.take<RunRequest>().value();
-    bench.send(request);
-    CHECK_FALSE(bench.take<RunRequest>());
-    bench.core.handleTarget(bench.now, TargetEndpoint, RunPart{run.attempt, 0, 1, {7}});
-    CHECK(bench.take<AnswerPart>()->body == Bytes{7});
-    bench.send(request);
-    CHECK(bench.take<AnswerPart>()->body == Bytes{7});
-    bench.pass(AnswerCacheTime * 2);
-    bench.announce(1, 2);
-    bench.send(request);
-    CHECK(bench.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    const FlowOpened flow = fixture.open();
+    const Request request = fixture.request(flow, 1);
+    fixture.send(request);
+    const RunRequest run = fixture.take<RunRequest>().value();
+    fixture.send(request);
+    CHECK_FALSE(fixture.take<RunRequest>());
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, RunPart{run.attempt, 0, 1, {7}});
+    CHECK(fixture.take<AnswerPart>()->body == Bytes{7});
+    fixture.send(request);
+    CHECK(fixture.take<AnswerPart>()->body == Bytes{7});
+    fixture.advance(AnswerCacheTime * 2);
+    fixture.announce(1, 2);
+    fixture.send(request);
+    CHECK(fixture.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
 }
 
 TEST_CASE("a packet of one service never reaches another")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    const FlowOpened flow = bench.open();
-    bench.send(bench.request(flow, 1), DocVault);
-    CHECK_FALSE(bench.take<RunRequest>());
-    CHECK(bench.rejected(RejectReason::WrongService) == 1);
-    Request forged = bench.request(flow, 2);
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    const FlowOpened flow = fixture.open();
+    fixture.send(fixture.request(flow, 1), DocVault);
+    CHECK_FALSE(fixture.take<RunRequest>());
+    CHECK(fixture.rejected(RejectReason::WrongService) == 1);
+    Request forged = fixture.request(flow, 2);
     forged.connectionId[10] ^= 1;
-    bench.send(forged);
-    CHECK(bench.rejected(RejectReason::ForgedId) == 1);
-    bench.send(bench.request(flow, 3), ServiceId{9});
-    CHECK(bench.rejected(RejectReason::UnknownService) == 1);
-    bench.send(Heartbeat{});
-    CHECK(bench.rejected(RejectReason::UnexpectedType) == 1);
+    fixture.send(forged);
+    CHECK(fixture.rejected(RejectReason::ForgedId) == 1);
+    fixture.send(fixture.request(flow, 3), ServiceId{9});
+    CHECK(fixture.rejected(RejectReason::UnknownService) == 1);
+    fixture.send(Heartbeat{});
+    CHECK(fixture.rejected(RejectReason::UnexpectedType) == 1);
 }
 
 TEST_CASE("a refused attempt is retried at another target, and with none left it did not run")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    bench.announce(2, 1);
-    const FlowOpened flow = bench.open();
-    bench.send(bench.request(flow, 1));
-    const RunRequest first = bench.take<RunRequest>().value();
-    bench.core.handleTarget(bench.now, TargetEndpoint, RunRefused{first.attempt});
-    const RunRequest second = bench.take<RunRequest>().value();
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    fixture.announce(2, 1);
+    const FlowOpened flow = fixture.open();
+    fixture.send(fixture.request(flow, 1));
+    const RunRequest first = fixture.take<RunRequest>().value();
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, RunRefused{first.attempt});
+    const RunRequest second = fixture.take<RunRequest>().value();
     CHECK(second.attempt != first.attempt);
-    bench.core.handleTarget(bench.now, TargetEndpoint, RunRefused{second.attempt});
-    const Refusal refusal = bench.take<Refusal>().value();
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, RunRefused{second.attempt});
+    const Refusal refusal = fixture.take<Refusal>().value();
     CHECK(refusal.outcome == Outcome::NotRun);
     CHECK(refusal.retryAfter > Duration(0));
 }
 
 TEST_CASE("without any target the refusal comes at once, with when to come back")
 {
-    Bench bench;
-    const FlowOpened flow = bench.open();
-    bench.send(bench.request(flow, 1));
-    const Refusal refusal = bench.take<Refusal>().value();
+    BalancerFixture fixture;
+    const FlowOpened flow = fixture.open();
+    fixture.send(fixture.request(flow, 1));
+    const Refusal refusal = fixture.take<Refusal>().value();
     CHECK(refusal.outcome == Outcome::NotRun);
     CHECK(refusal.reason == RefusalReason::NoTarget);
     CHECK(refusal.retryAfter == NoTargetRetryAfter);
@@ -188,148 +188,148 @@
 
 TEST_CASE("a request whose target is lost is unknown at once, and never run again")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    const FlowOpened flow = bench.open();
-    Request request = bench.request(flow, 1);
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    const FlowOpened flow = fixture.open();
+    Request request = fixture.request(flow, 1);
     request.timeLeft = seconds(30);
-    bench.send(request);
-    const RunRequest run = bench.take<RunRequest>().value();
-    bench.pass(TargetLease);
-    CHECK(bench.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
-    bench.core.handleTarget(bench.now, TargetEndpoint, RunPart{run.attempt, 0, 1, {7}});
-    CHECK_FALSE(bench.take<AnswerPart>());
+    fixture.send(request);
+    const RunRequest run = fixture.take<RunRequest>().value();
+    fixture.advance(TargetLease);
+    CHECK(fixture.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, RunPart{run.attempt, 0, 1, {7}});
+    CHECK_FALSE(fixture.take<AnswerPart>());
 }
 
 TEST_CASE("a cancelled request is cancelled at the target, and one that waits did not run")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    const FlowOpened flow = bench.open();
-    bench.send(bench.request(flow, 1));
-    const RunRequest run = bench.take<RunRequest>().value();
-    bench.send(bench.request(flow, 2));
-    bench.send(CancelRequest{flow.connectionId, RequestId{2}});
-    CHECK(bench.take<Refusal>()->outcome == Outcome::NotRun);
-    bench.send(CancelRequest{flow.connectionId, RequestId{1}});
-    CHECK(bench.take<CancelRun>()->attempt == run.attempt);
-    CHECK(bench.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    const FlowOpened flow = fixture.open();
+    fixture.send(fixture.request(flow, 1));
+    const RunRequest run = fixture.take<RunRequest>().value();
+    fixture.send(fixture.request(flow, 2));
+    fixture.send(CancelRequest{flow.connectionId, RequestId{2}});
+    CHECK(fixture.take<Refusal>()->outcome == Outcome::NotRun);
+    fixture.send(CancelRequest{flow.connectionId, RequestId{1}});
+    CHECK(fixture.take<CancelRun>()->attempt == run.attempt);
+    CHECK(fixture.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
 }
 
 TEST_CASE("at its deadline a request that waits did not run, and one that runs is unknown")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    bench.timeLeft = milliseconds(300);
-    const FlowOpened flow = bench.open();
-    bench.send(bench.request(flow, 1));
-    bench.send(bench.request(flow, 2));
-    bench.pass(bench.timeLeft);
-    CHECK(bench.take<CancelRun>());
-    CHECK(bench.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
-    const Refusal waiting = bench.take<Refusal>().value();
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    fixture.timeLeft = milliseconds(300);
+    const FlowOpened flow = fixture.open();
+    fixture.send(fixture.request(flow, 1));
+    fixture.send(fixture.request(flow, 2));
+    fixture.advance(fixture.timeLeft);
+    CHECK(fixture.take<CancelRun>());
+    CHECK(fixture.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
+    const Refusal waiting = fixture.take<Refusal>().value();
     CHECK(waiting.request == RequestId{2});
     CHECK(waiting.outcome == Outcome::NotRun);
 }
 
 TEST_CASE("an attempt that takes far too long gives its slot to the next request")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    const FlowOpened flow = bench.open();
-    bench.send(bench.request(flow, 1));
-    const RunRequest first = bench.take<RunRequest>().value();
-    bench.send(bench.request(flow, 2));
-    CHECK_FALSE(bench.take<RunRequest>());
-    bench.pass(milliseconds(500));
-    CHECK(bench.take<RunRequest>());
-    bench.core.handleTarget(bench.now, TargetEndpoint, RunPart{first.attempt, 0, 1, {7}});
-    CHECK(bench.take<AnswerPart>()->request == RequestId{1});
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    const FlowOpened flow = fixture.open();
+    fixture.send(fixture.request(flow, 1));
+    const RunRequest first = fixture.take<RunRequest>().value();
+    fixture.send(fixture.request(flow, 2));
+    CHECK_FALSE(fixture.take<RunRequest>());
+    fixture.advance(milliseconds(500));
+    CHECK(fixture.take<RunRequest>());
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, RunPart{first.attempt, 0, 1, {7}});
+    CHECK(fixture.take<AnswerPart>()->request == RequestId{1});
 }
 
 TEST_CASE("a request too large is refused, and the process goes on")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    const FlowOpened flow = bench.open();
-    Request request = bench.request(flow, 1);
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    const FlowOpened flow = fixture.open();
+    Request request = fixture.request(flow, 1);
     request.body.resize(MaxBodySize + 1);
-    bench.send(request);
-    CHECK(bench.take<Refusal>()->reason == RefusalReason::BadRequest);
+    fixture.send(request);
+    CHECK(fixture.take<Refusal>()->reason == RefusalReason::BadRequest);
 }
 
 TEST_CASE("a feed goes on at another target without a gap or a repeat when its target drains")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    const FlowOpened flow = bench.open();
-    bench.send(PollFeed{flow.connectionId, 0});
-    const AttachFeed first = bench.take<AttachFeed>().value();
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    const FlowOpened flow = fixture.open();
+    fixture.send(PollFeed{flow.connectionId, 0});
+    const AttachFeed first = fixture.take<AttachFeed>().value();
     CHECK(first.nextSequence == 1);
     for (std::uint64_t sequence : {1, 2, 2, 4}) {
-        bench.core.handleTarget(bench.now, TargetEndpoint, FeedPush{first.attachment, flow.flow, sequence, {}});
+        fixture.core.handleTarget(fixture.now, TargetEndpoint, FeedPush{first.attachment, flow.flow, sequence, {}});
     }
-    CHECK(bench.take<FeedItem>()->sequence == 1);
-    CHECK(bench.take<FeedItem>()->sequence == 2);
-    CHECK_FALSE(bench.take<FeedItem>());
-    bench.announce(2, 1);
-    bench.announce(1, 2, true);
-    CHECK(bench.take<DetachFeed>()->attachment == first.attachment);
-    bench.core.handleTarget(bench.now, TargetEndpoint, FeedPush{first.attachment, flow.flow, 3, {}});
-    CHECK_FALSE(bench.take<FeedItem>());
-    bench.send(PollFeed{flow.connectionId, 2});
-    bench.pass(seconds(1));
-    bench.send(PollFeed{flow.connectionId, 2});
-    const AttachFeed second = bench.take<AttachFeed>().value();
+    CHECK(fixture.take<FeedItem>()->sequence == 1);
+    CHECK(fixture.take<FeedItem>()->sequence == 2);
+    CHECK_FALSE(fixture.take<FeedItem>());
+    fixture.announce(2, 1);
+    fixture.announce(1, 2, true);
+    CHECK(fixture.take<DetachFeed>()->attachment == first.attachment);
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, FeedPush{first.attachment, flow.flow, 3, {}});
+    CHECK_FALSE(fixture.take<FeedItem>());
+    fixture.send(PollFeed{flow.connectionId, 2});
+    fixture.advance(seconds(1));
+    fixture.send(PollFeed{flow.connectionId, 2});
+    const AttachFeed second = fixture.take<AttachFeed>().value();
     CHECK(second.nextSequence == 3);
-    bench.core.handleTarget(bench.now, TargetEndpoint, FeedPush{second.attachment, flow.flow, 3, {}});
-    CHECK(bench.take<FeedItem>()->sequence == 3);
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, FeedPush{second.attachment, flow.flow, 3, {}});
+    CHECK(fixture.take<FeedItem>()->sequence == 3);
 }
 
 TEST_CASE("a packet of a flow whose owner is gone is adopted; its request is unknown and not run")
 {
-    Bench other(2);
+    BalancerFixture other(2);
     const FlowOpened flow = other.open();
-    Bench bench;
-    bench.announce(1, 1);
-    bench.send(bench.request(flow, 1));
-    const FlowMoved moved = bench.take<FlowMoved>().value();
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    fixture.send(fixture.request(flow, 1));
+    const FlowMoved moved = fixture.take<FlowMoved>().value();
     CHECK(moved.previous == flow.flow);
     CHECK(moved.flow != flow.flow);
-    CHECK(bench.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
-    CHECK_FALSE(bench.take<RunRequest>());
+    CHECK(fixture.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
+    CHECK_FALSE(fixture.take<RunRequest>());
     const FlowOpened adopted{0, moved.flow, moved.connectionId};
-    bench.send(bench.request(adopted, 2));
-    CHECK(bench.take<RunRequest>());
+    fixture.send(fixture.request(adopted, 2));
+    CHECK(fixture.take<RunRequest>());
 }
 
 TEST_CASE("a stopping balancer hands its flows on and runs nothing on them afterwards")
 {
-    Bench bench;
-    bench.announce(1, 1);
-    const FlowOpened flow = bench.open();
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
+    const FlowOpened flow = fixture.open();
     Heartbeat heartbeat;
     heartbeat.sender = {BalancerId{2}, Incarnation{1}};
     heartbeat.counter = 1;
-    bench.core.handlePeer(bench.now, {}, heartbeat);
-    bench.core.stop(bench.now, seconds(1));
-    bench.send(bench.request(flow, 1));
-    const RunRequest run = bench.take<RunRequest>().value();
+    fixture.core.handlePeer(fixture.now, {}, heartbeat);
+    fixture.core.stop(fixture.now, seconds(1));
+    fixture.send(fixture.request(flow, 1));
+    const RunRequest run = fixture.take<RunRequest>().value();
     heartbeat.counter = 2;
-    bench.pass(milliseconds(900));
-    bench.core.handlePeer(bench.now, {}, heartbeat);
-    bench.pass(milliseconds(200));
-    CHECK_FALSE(bench.take<HandoverFlows>());
-    bench.core.handleTarget(bench.now, TargetEndpoint, RunPart{run.attempt, 0, 1, {7}});
-    CHECK(bench.take<AnswerPart>());
-    bench.pass(milliseconds(20));
-    const HandoverFlows handover = bench.take<HandoverFlows>().value();
+    fixture.advance(milliseconds(900));
+    fixture.core.handlePeer(fixture.now, {}, heartbeat);
+    fixture.advance(milliseconds(200));
+    CHECK_FALSE(fixture.take<HandoverFlows>());
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, RunPart{run.attempt, 0, 1, {7}});
+    CHECK(fixture.take<AnswerPart>());
+    fixture.advance(milliseconds(20));
+    const HandoverFlows handover = fixture.take<HandoverFlows>().value();
     REQUIRE(handover.flows.size() == 1);
     CHECK(handover.flows[0].highestRequest == 1);
-    bench.send(bench.request(flow, 2));
-    CHECK_FALSE(bench.take<RunRequest>());
+    fixture.send(fixture.request(flow, 2));
+    CHECK_FALSE(fixture.take<RunRequest>());
 
-    Bench successor(2);
+    BalancerFixture successor(2);
     successor.announce(1, 1);
     successor.core.handlePeer(successor.now, {}, handover);
     CHECK(successor.take<FlowMoved>()->flow == flow.flow);
@@ -342,7 +342,7 @@
 
 TEST_CASE("a restarted target, whose sequence begins anew, is renewed by gossip like the others")
 {
-    Bench bench;
+    BalancerFixture fixture;
     Heartbeat heartbeat;
     heartbeat.sender = {BalancerId{2}, Incarnation{1}};
     const auto renewedSequence = [&](std::uint64_t incarnation, std::uint64_t sequence) {
@@ -352,13 +352,13 @@
         announcement.incarnation = Incarnation{incarnation};
         announcement.sequence = sequence;
         announcement.slots = 1;
-        bench.core.handleTarget(bench.now, TargetEndpoint, announcement);
+        fixture.core.handleTarget(fixture.now, TargetEndpoint, announcement);
         std::uint64_t found = 0;
         for (int beat = 0; beat < 8; ++beat) {
             ++heartbeat.counter;
-            bench.core.handlePeer(bench.now, {}, heartbeat);
-            bench.pass(HeartbeatInterval);
-            while (const auto sent = bench.take<Heartbeat>()) {
+            fixture.core.handlePeer(fixture.now, {}, heartbeat);
+            fixture.advance(HeartbeatInterval);
+            while (const auto sent = fixture.take<Heartbeat>()) {
                 found = sent->renewals.empty() ? found : sent->renewals.front().sequence;
             }
         }
@@ -371,21 +371,21 @@
 
 TEST_CASE("an offload runs at most once, and only at the run that it names")
 {
-    Bench bench;
-    bench.announce(1, 1);
+    BalancerFixture fixture;
+    fixture.announce(1, 1);
     OffloadRequest offload;
     offload.attempt = {{BalancerId{2}, Incarnation{1}}, 9};
     offload.executor = {BalancerId{1}, Incarnation{1}};
     offload.service = RateDesk;
     offload.timeLeft = seconds(1);
-    bench.core.handlePeer(bench.now, {}, offload);
-    const RunRequest run = bench.take<RunRequest>().value();
-    bench.core.handleTarget(bench.now, TargetEndpoint, RunPart{run.attempt, 0, 1, {7}});
-    CHECK(bench.take<RunPart>()->attempt == offload.attempt);
-    bench.core.handlePeer(bench.now, {}, offload);
-    CHECK_FALSE(bench.take<RunRequest>());
+    fixture.core.handlePeer(fixture.now, {}, offload);
+    const RunRequest run = fixture.take<RunRequest>().value();
+    fixture.core.handleTarget(fixture.now, TargetEndpoint, RunPart{run.attempt, 0, 1, {7}});
+    CHECK(fixture.take<RunPart>()->attempt == offload.attempt);
+    fixture.core.handlePeer(fixture.now, {}, offload);
+    CHECK_FALSE(fixture.take<RunRequest>());
     offload.attempt.serial = 10;
     offload.executor.incarnation = Incarnation{0};
-    bench.core.handlePeer(bench.now, {}, offload);
-    CHECK_FALSE(bench.take<RunRequest>());
+    fixture.core.handlePeer(fixture.now, {}, offload);
+    CHECK_FALSE(fixture.take<RunRequest>());
 }
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -166,7 +166,7 @@
 
 TEST_CASE("equal views deal every slot to exactly one balancer, evenly")
 {
-    std::map<std::uint32_t, int> dealt;
+    std::map<std::uint32_t, int> assigned;
     std::map<int, std::vector<int>> ownByDataCentre;
     for (std::uint16_t self = 1; self <= 8; ++self) {
         TargetTable table;
@@ -181,15 +181,15 @@
         for (std::uint16_t id = 1; id <= 8; ++id) {
             members.push_back({BalancerId{id}, DataCentreId{static_cast<std::uint8_t>((id - 1) % 3 + 1)}});
         }
-        PartitionedSlots::deal(targets, members, BalancerId{self}, Start);
+        PartitionedSlots::assignSlots(targets, members, BalancerId{self}, Start);
         int own = 0;
         for (const Target *target : targets) {
-            dealt[value(target->id())] += target->share;
-            own += target->share;
+            assigned[value(target->id())] += target->assignedSlots;
+            own += target->assignedSlots;
         }
         ownByDataCentre[(self - 1) % 3].push_back(own);
     }
-    for (const auto &[id, count] : dealt) {
+    for (const auto &[id, count] : assigned) {
         CHECK(count == 3);
     }
     for (const auto &[dataCentre, own] : ownByDataCentre) {
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -27,33 +27,33 @@
     std::set<std::uint32_t> taken;
     for (int i = 0; i < 100'000; ++i) {
         const auto id = static_cast<std::uint32_t>(1 + i / 3 + random() % 100);
-        if (window.take(RequestId{id}) == RequestAge::Fresh) {
+        if (window.record(RequestId{id}) == RequestAge::Fresh) {
             CHECK(taken.insert(id).second);
         }
     }
     CHECK(taken.size() > 20'000);
-    CHECK(window.look(RequestId{window.highest()}) == RequestAge::Seen);
-    CHECK(window.look(RequestId{window.highest() - 64}) == RequestAge::BelowWindow);
+    CHECK(window.lookUp(RequestId{window.highest()}) == RequestAge::Seen);
+    CHECK(window.lookUp(RequestId{window.highest() - 64}) == RequestAge::BelowWindow);
 }
 
 TEST_CASE("a request window survives being handed over")
 {
     RequestWindow window;
-    window.take(RequestId{5});
-    window.take(RequestId{3});
+    window.record(RequestId{5});
+    window.record(RequestId{3});
     RequestWindow copy(window.highest(), window.bits());
-    CHECK(copy.take(RequestId{3}) == RequestAge::Seen);
-    CHECK(copy.take(RequestId{4}) == RequestAge::Fresh);
+    CHECK(copy.record(RequestId{3}) == RequestAge::Seen);
+    CHECK(copy.record(RequestId{4}) == RequestAge::Fresh);
 }
 
 TEST_CASE("an answer is complete only with all parts, in any order, each once")
 {
     AnswerAssembly assembly;
-    CHECK(assembly.add(2, 3, {2}) == PartEffect::Taken);
+    CHECK(assembly.add(2, 3, {2}) == PartEffect::Accepted);
     CHECK(assembly.add(2, 3, {9}) == PartEffect::Ignored);
     CHECK(assembly.add(0, 4, {9}) == PartEffect::Ignored);
     CHECK(assembly.add(3, 3, {9}) == PartEffect::Ignored);
-    CHECK(assembly.add(0, 3, {0}) == PartEffect::Taken);
+    CHECK(assembly.add(0, 3, {0}) == PartEffect::Accepted);
     CHECK(assembly.add(1, 3, {1}) == PartEffect::Completed);
     CHECK(assembly.parts() == std::vector<Bytes>{{0}, {1}, {2}});
     CHECK(AnswerAssembly().add(0, 0, {}) == PartEffect::Ignored);
@@ -83,7 +83,7 @@
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
         budget.recordRequest();
-        retries += budget.take() ? 1 : 0;
+        retries += budget.tryConsume() ? 1 : 0;
     }
     CHECK(retries <= 105);
     CHECK(retries >= 95);
@@ -91,15 +91,15 @@
 
 TEST_CASE("settled answers are given again for a while")
 {
-    AnswerCache settled;
+    AnswerCache cache;
     const TimePoint start{std::chrono::seconds(100)};
     const RequestKey key{FlowId{1}, RequestId{2}};
-    settled.remember(start, key, {Refusal{}});
-    CHECK(settled.find(key).size() == 1);
-    settled.expire(start + AnswerCacheTime - Duration(1));
-    CHECK(settled.size() == 1);
-    settled.expire(start + AnswerCacheTime);
-    CHECK(settled.find(key).empty());
+    cache.insert(start, key, {Refusal{}});
+    CHECK(cache.find(key).size() == 1);
+    cache.expire(start + AnswerCacheTime - Duration(1));
+    CHECK(cache.size() == 1);
+    cache.expire(start + AnswerCacheTime);
+    CHECK(cache.find(key).empty());
 }
 
 TEST_CASE("datagrams are taken once, from those who hold the key, and not from an older run")
--- a/tests/test_proofs.cpp
+++ b/tests/test_proofs.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t SeedCount = 4;
 
-SimulationOptions optionsFor(std::uint64_t seed)
+SimulationOptions optionsForSeed(std::uint64_t seed)
 {
     SimulationOptions options;
     options.deployment = seed % 2 == 0 ? bogota() : kathmandu();
@@ -21,7 +21,7 @@
 }
 
 // What must be 0 whatever happens.
-void checkPromises(const SimulationResult &result)
+void checkInvariants(const SimulationResult &result)
 {
     CHECK(result.runTwice == 0);
     CHECK(result.falseNotRun == 0);
@@ -31,14 +31,14 @@
 }
 
 template<typename Prepare, typename Check>
-void forSeeds(Prepare prepare, Check check)
+void runForSeeds(Prepare prepare, Check check)
 {
     for (std::uint64_t seed = 1; seed <= SeedCount; ++seed) {
         CAPTURE(seed);
-        SimulationOptions options = optionsFor(seed);
+        SimulationOptions options = optionsForSeed(seed);
         prepare(options);
         const SimulationResult result = Simulation<PartitionedSlots>(options).run();
-        checkPromises(result);
+        checkInvariants(result);
         check(result);
     }
 }
@@ -47,7 +47,7 @@
 
 TEST_CASE("every balancer is stopped in turn with feeds open: no broken flow")
 {
-    forSeeds(stopEveryBalancer, [](const SimulationResult &result) {
+    runForSeeds(stopEveryBalancer, [](const SimulationResult &result) {
         CHECK(result.brokenFlows == 0);
         CHECK(result.stoppedBalancers == 8);
         CHECK(result.longestStall < seconds(2));
@@ -57,7 +57,7 @@
 
 TEST_CASE("every target is replaced in turn: no broken flow, and no new work after 3 s")
 {
-    forSeeds(replaceEveryTarget, [](const SimulationResult &result) {
+    runForSeeds(replaceEveryTarget, [](const SimulationResult &result) {
         CHECK(result.brokenFlows == 0);
         CHECK(result.lateWork == 0);
         CHECK(result.unanswered == 0);
@@ -66,7 +66,7 @@
 
 TEST_CASE("a tenth of the packets lost, doubled and late: answers are whole or refused once")
 {
-    forSeeds(loseDoubleAndDelay, [](const SimulationResult &result) {
+    runForSeeds(loseDoubleAndDelay, [](const SimulationResult &result) {
         CHECK(result.brokenFlows == 0);
         CHECK(result.sent >= result.outcomes[0]);
     });
@@ -74,7 +74,7 @@
 
 TEST_CASE("a killed balancer breaks no flow")
 {
-    forSeeds(
+    runForSeeds(
         [](SimulationOptions &options) {
             options.faults = {{seconds(5), FaultKind::KillBalancer, 3}};
         },
@@ -86,7 +86,7 @@
 
 TEST_CASE("a balancer that freezes and returns does no harm")
 {
-    forSeeds(
+    runForSeeds(
         [](SimulationOptions &options) {
             options.faults = {{seconds(5), FaultKind::FreezeBalancer, 3}, {seconds(15), FaultKind::ThawBalancer, 3}};
         },
@@ -97,7 +97,7 @@
 
 TEST_CASE("a data centre cut off and joined again: two views of the membership run nothing twice")
 {
-    forSeeds(
+    runForSeeds(
         [](SimulationOptions &options) {
             options.faults = {{seconds(5), FaultKind::CutDataCentre, 1}, {seconds(15), FaultKind::JoinDataCentre, 1}};
         },
@@ -108,7 +108,7 @@
 
 TEST_CASE("a target that dies and one that announces itself but never answers break no flow")
 {
-    forSeeds(
+    runForSeeds(
         [](SimulationOptions &options) {
             options.faults = {{seconds(5), FaultKind::KillTarget, 1}, {seconds(8), FaultKind::SilenceTarget, 2}};
         },
@@ -119,15 +119,15 @@
 
 TEST_CASE("all of it together")
 {
-    forSeeds(bringAllTogether, [](const SimulationResult &) {});
+    runForSeeds(bringAllTogether, [](const SimulationResult &) {});
 }
 
 TEST_CASE("a balancer that joins under traffic routes as well as the others once it is ready")
 {
-    SimulationOptions options = optionsFor(1);
+    SimulationOptions options = optionsForSeed(1);
     options.faults = {{seconds(2), FaultKind::KillBalancer, 2}, {seconds(8), FaultKind::StartBalancer, 2}};
     Simulation<PartitionedSlots> simulation(options);
-    checkPromises(simulation.run());
+    checkInvariants(simulation.run());
     const std::span<const Target> joined = std::as_const(simulation.balancer(2).context().targets).targets();
     const std::span<const Target> old = std::as_const(simulation.balancer(1).context().targets).targets();
     REQUIRE(joined.size() == old.size());
@@ -139,7 +139,7 @@
 
 TEST_CASE("without any fault no target is taken for lost and nothing ends as unknown")
 {
-    forSeeds(
+    runForSeeds(
         [](SimulationOptions &options) {
             options.duration = seconds(60);
         },
@@ -150,7 +150,7 @@
 
 TEST_CASE("the same seed gives the same run")
 {
-    SimulationOptions options = optionsFor(1);
+    SimulationOptions options = optionsForSeed(1);
     options.duration = seconds(10);
     loseDoubleAndDelay(options);
     CHECK(Simulation<PartitionedSlots>(options).run().signature() == Simulation<PartitionedSlots>(options).run().signature());
