--- a/spec/owner.pml
+++ b/spec/owner.pml
@@ -1,16 +1,16 @@
 /* SPDX-License-Identifier: MIT
  *
- * Owner: the fence of the data path. A request that must not be repeated is run only by the balancer run
- * that its connection id names, under views of the membership that differ and change at any time.
+ * Owner: at-most-once execution and fencing on the data path. A request that must not be repeated is executed only by the
+ * balancer incarnation that its connection id names, although views of the membership differ and may change at any time.
  *
- * Balancer 0 owns the flow; balancer 1 is a peer that may take 0 for gone, rightly or not; balancer 2 is
- * the named successor of a planned stop. The network may duplicate and delay the request's packet. The
- * owner may send the request to target slots at itself or offload it to a peer, which dedups by attempt.
+ * Balancer 0 owns the flow; balancer 1 is a peer that may consider 0 gone, rightly or not; balancer 2 is the
+ * successor of 0 in a graceful shutdown. The network may duplicate and delay the request's packet. The owner
+ * may run the request in a target slot of its own, or offload it to a peer, which deduplicates by attempt.
  *
  * Properties (assertions):
- *   B1  the request runs at most once
- *   B2  "not run" is true, at any later time, too
- *   B3  a stopped owner runs nothing after it has handed the flow on
+ *   B1  the request is executed at most once
+ *   B2  a request that was reported as not run has not been executed, and never is later
+ *   B3  a stopped owner executes nothing on a flow that it has handed over
  *
  * Mutations: MUTATE_ADOPTER_RUNS (B1), MUTATE_NO_WINDOW (B1), MUTATE_EARLY_NOT_RUN (B2),
  * MUTATE_NO_FENCE (B1 or B3), MUTATE_OFFLOAD_TWICE (B1).
@@ -18,80 +18,80 @@
 
 #define COPIES 3
 
-byte runs = 0;
-bool saidNotRun = false;
+byte executions = 0;
+bool reportedNotRun = false;
 bool ownerAlive = true;
 bool ownerHasFlow = true;
 bool successorHasFlow = false;
-bool ownerTook = false;        /* The id stands in the owner's window. */
-bool successorTook = false;    /* The id stands in the successor's copy of the window. */
+bool ownerRecorded = false;        /* The request id is recorded in the owner's window. */
+bool successorRecorded = false;    /* The same for the successor's copy of the window. */
 bool handoverSent = false;
-bool handoverTook = false;     /* The window as it was packed. */
-bool offloaded = false;        /* An attempt is on its way to the peer. */
+bool handedOverRecorded = false;   /* The window as it was sent in the handover. */
+bool offloaded = false;            /* An attempt was sent to the peer. */
 byte offloadCopies = 0;
-bool peerSawAttempt = false;
+bool peerRecordedAttempt = false;
 
-inline runIt() {
-    runs++;
-    assert(runs <= 1);              /* B1 */
-    assert(!saidNotRun)             /* B2 */
+inline executeRequest() {
+    executions++;
+    assert(executions <= 1);        /* B1 */
+    assert(!reportedNotRun)         /* B2 */
 }
 
-inline sayNotRun() {
-    saidNotRun = true;
-    assert(runs == 0)               /* B2 */
+inline reportNotRun() {
+    reportedNotRun = true;
+    assert(executions == 0)         /* B2 */
 }
 
-/* The owner takes the request: it runs it itself, offloads it, or refuses it. */
-inline ownerTakes() {
+/* The owner receives the request: it executes it, offloads it, or refuses it. */
+inline ownerReceives() {
     if
 #ifdef MUTATE_NO_WINDOW
     :: true ->
 #else
-    :: !ownerTook ->
+    :: !ownerRecorded ->
 #endif
-        ownerTook = true;
+        ownerRecorded = true;
         if
-        :: runIt()
+        :: executeRequest()
         :: offloaded = true; offloadCopies = 2
-        :: sayNotRun()
+        :: reportNotRun()
         fi
-    :: ownerTook -> skip            /* A duplicate: the same answer again. */
+    :: ownerRecorded -> skip            /* A duplicate: the cached answer is resent. */
     fi
 }
 
-inline successorTakes() {
+inline successorReceives() {
     if
-    :: !successorTook ->
-        successorTook = true;
+    :: !successorRecorded ->
+        successorRecorded = true;
         if
-        :: runIt()
-        :: sayNotRun()
+        :: executeRequest()
+        :: reportNotRun()
         fi
     :: else -> skip
     fi
 }
 
-/* A copy of the packet reaches any balancer. */
-proctype copy() {
+/* A copy of the packet is delivered to any balancer. */
+proctype deliverCopy() {
     atomic {
         if
         /* The owner itself, or a peer that believes it alive and relays. */
-        :: ownerAlive && ownerHasFlow -> ownerTakes()
+        :: ownerAlive && ownerHasFlow -> ownerReceives()
         :: ownerAlive && !ownerHasFlow ->
 #ifdef MUTATE_NO_FENCE
-            ownerTakes()
+            ownerReceives()
 #else
             if
-            :: successorHasFlow -> successorTakes()
+            :: successorHasFlow -> successorReceives()
             :: else -> skip
             fi
 #endif
-        :: successorHasFlow -> successorTakes()
-        /* A peer that takes the owner for gone, whether it is or not: the outcome is unknown. */
+        :: successorHasFlow -> successorReceives()
+        /* A peer that considers the owner gone, rightly or not: the outcome is unknown. */
         :: true ->
 #ifdef MUTATE_ADOPTER_RUNS
-            runIt()
+            executeRequest()
 #else
             skip
 #endif
@@ -100,7 +100,7 @@
     }
 }
 
-/* The peer gets the offload, twice. It may run it, or decline it once and for all. */
+/* The peer receives the offloaded attempt twice. It may execute it, or decline it for good. */
 proctype peer() {
     do
     :: atomic {
@@ -110,17 +110,17 @@
 #ifdef MUTATE_OFFLOAD_TWICE
         :: true ->
 #else
-        :: !peerSawAttempt ->
+        :: !peerRecordedAttempt ->
 #endif
-            peerSawAttempt = true;
+            peerRecordedAttempt = true;
             if
-            :: runIt()
-            :: if                   /* Declined, and the owner heard it: it surely did not run. */
-               :: ownerAlive -> sayNotRun()
+            :: executeRequest()
+            :: if                   /* Declined, and the owner was told: it was certainly not executed. */
+               :: ownerAlive -> reportNotRun()
                :: else -> skip
                fi
             fi
-        :: peerSawAttempt -> skip
+        :: peerRecordedAttempt -> skip
         fi
        }
     :: atomic { offloadCopies == 0 && _nr_pr <= 2 -> break }
@@ -128,13 +128,13 @@
     od
 }
 
-/* The owner gives up an offloaded request whose answer it has not got. */
-proctype giveUp() {
+/* The owner refuses an offloaded request whose answer it has not received. */
+proctype refuseOffloaded() {
     atomic {
         if
         :: offloaded && ownerAlive ->
 #ifdef MUTATE_EARLY_NOT_RUN
-            sayNotRun()
+            reportNotRun()
 #else
             skip                    /* Unknown. */
 #endif
@@ -143,8 +143,8 @@
     }
 }
 
-/* Planned stop: fence first, then hand the window on. */
-proctype stop() {
+/* Graceful shutdown: first fence the flow, then hand its window over. */
+proctype stopOwner() {
     atomic {
         if
         :: ownerAlive && !offloaded ->
@@ -154,19 +154,19 @@
             ownerHasFlow = false;
 #endif
             handoverSent = true;
-            handoverTook = ownerTook
+            handedOverRecorded = ownerRecorded
         :: skip
         fi
     }
     atomic {
         if
-        :: handoverSent -> successorTook = handoverTook; successorHasFlow = true
+        :: handoverSent -> successorRecorded = handedOverRecorded; successorHasFlow = true
         :: else -> skip
         fi
     }
 }
 
-proctype kill() {
+proctype killOwner() {
     atomic {
         if
         :: ownerAlive = false
@@ -179,12 +179,12 @@
     byte i = 0;
     atomic {
         do
-        :: i < COPIES -> run copy(); i++
+        :: i < COPIES -> run deliverCopy(); i++
         :: else -> break
         od;
         run peer();
-        run giveUp();
-        run stop();
-        run kill()
+        run refuseOffloaded();
+        run stopOwner();
+        run killOwner()
     }
 }
--- a/src/answer_assembly.h
+++ b/src/answer_assembly.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Answer assembly: collects the parts of one attempt's answer, in whatever order they come.
+// Answer assembly: reassembles the parts of one attempt's answer, which may arrive in any order.
 #pragma once
 
 #include "message.h"
@@ -8,14 +8,14 @@
 
 namespace Robinrail {
 
-// What a part did.
+// Result of adding a part.
 enum class PartEffect : std::uint8_t {
     Accepted,
     Completed,
     Ignored, // A duplicate, or it contradicts an earlier part.
 };
 
-// Parts of one attempt. Nothing reaches the caller before all are there, so no half answer ever does.
+// Reassembly buffer of one attempt. Nothing is sent to the caller until all parts have arrived, so a caller never gets a partial answer.
 class AnswerAssembly
 {
 public:
@@ -38,7 +38,7 @@
         return m_received == m_count ? PartEffect::Completed : PartEffect::Accepted;
     }
 
-    // All parts in order; meaningful once completed.
+    // All parts in order; valid only after add() has returned Completed.
     std::vector<Bytes> &parts()
     {
         return m_parts;
--- a/src/balancer_context.h
+++ b/src/balancer_context.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Balancer context: the state that the engines of one balancer share, and their way out.
+// Balancer context: state shared by the engines of one balancer, and the outbox that they send through.
 #pragma once
 
 #include "connection_id.h"
@@ -14,7 +14,7 @@
 
 namespace Robinrail {
 
-// What the bundle says of one service.
+// Settings of one service, from the configuration bundle.
 struct ServiceSettings {
     ServiceId id{};
     std::string name;
@@ -22,7 +22,7 @@
     double retryRatio = 0.2; // Retries per request in the long run.
 };
 
-// What a balancer is told at its start.
+// Startup settings of a balancer.
 struct BalancerSettings {
     BalancerKey self;
     DataCentreId dataCentre{};
@@ -36,7 +36,7 @@
     Message message;
 };
 
-// Running totals since the start.
+// Totals since the process started.
 struct Counters {
     std::uint64_t flowsOpened = 0;
     std::uint64_t flowsAdopted = 0;
@@ -72,7 +72,7 @@
     std::vector<Outgoing> outbox;
     Counters counters;
     std::function<void(const Event &)> observer; // May be empty.
-    std::uint64_t lastSerial = 0; // Of attempts, attachments and flows.
+    std::uint64_t lastSerial = 0; // Last serial number given to an attempt, attachment or flow.
     std::uint64_t bundleVersion = 0;
 
     void send(Endpoint to, Message message)
--- a/src/balancer_core.cpp
+++ b/src/balancer_core.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Balancer core: packets of callers and targets, change and time. What peers say is in balancer_peers.cpp.
+// Balancer core: packets of callers and targets, settings and timers. Packets of peers are handled in balancer_peers.cpp.
 #include "balancer_core.h"
 
 #include "hash.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A balancer without any live peer is ready after this time; else once a peer told it what it knows.
+// A balancer that hears no peer is ready after this delay; otherwise it is ready after the first heartbeat of a peer.
 constexpr Duration NoPeerReadyDelay = PeerTimeout;
 
 } // namespace
@@ -71,8 +71,8 @@
     }
 }
 
-// Whoever gets the opening packet owns the flow: the fabric's spraying spreads ownership evenly without
-// a message. A duplicate opens a second flow elsewhere, which the caller never uses and which expires.
+// The balancer that receives the opening packet owns the flow. The fabric sprays packets evenly, so ownership is balanced
+// without coordination. A duplicated packet opens a second flow elsewhere, which the caller never uses and which expires.
 template<SlotPolicy Policy>
 void BalancerCore<Policy>::open(TimePoint now, const CallerPacket &packet, const OpenFlow &message)
 {
@@ -160,9 +160,9 @@
 void BalancerCore<Policy>::onOwnFlow(TimePoint now, const CallerPacket &packet, const ConnectionId &id, Flow &flow, const Request &request)
 {
     const auto previous = m_previousOwners.find(value(id.flow));
-    const bool received = previous != m_previousOwners.end() && packet.relay != previous->second.owner;
-    if (received && flow.window.lookUp(request.request) != RequestAge::Fresh && !m_requests.isPending({id.flow, request.request})) {
-        // The previous owner may hold the answer; it stays a while for this.
+    const bool receivedByHandover = previous != m_previousOwners.end() && packet.relay != previous->second.owner;
+    if (receivedByHandover && flow.window.lookUp(request.request) != RequestAge::Fresh && !m_requests.isPending({id.flow, request.request})) {
+        // The previous owner may have the answer cached; it keeps running for HandoverGracePeriod to resend it.
         if (m_context.peers.find(previous->second.owner.id) != nullptr && !m_requests.resend({id.flow, request.request}, packet.caller)) {
             relay(now, packet, previous->second.owner, request);
         }
@@ -185,7 +185,7 @@
 {
     const std::optional<BalancerKey> other = m_context.peers.stopping() ? m_context.peers.chooseSuccessor() : std::nullopt;
     if (other) {
-        // The other one sees that this balancer stops, and adopts the flow.
+        // The other balancer knows that this one is stopping, and adopts the flow.
         return relay(now, packet, *other, poll);
     }
     if (id.owner != m_context.peers.self()) {
@@ -194,7 +194,8 @@
     m_feeds.poll(now, id.flow, flow, poll.acknowledged);
 }
 
-// The flow is fenced off here. Only what was settled before is still answered; the rest goes after the flow.
+// This balancer runs no request of a flow that it has handed over. It resends the cached answers of requests that were completed
+// before, and relays everything else to the new owner.
 template<SlotPolicy Policy>
 void BalancerCore<Policy>::onFlowHandedOver(TimePoint now, const CallerPacket &packet, const ConnectionId &id, BalancerKey to, const Message &message)
 {
@@ -211,8 +212,8 @@
     relay(now, packet, to, message);
 }
 
-// The owner named in the id is gone, or has forgotten the flow. The request may have run there, so it is
-// not run here and never called "not run"; a caller that may repeat it asks again under the new id.
+// The owner named in the connection id is gone, or no longer has the flow. The request may have run there, so it is neither run
+// here nor reported as not run; the caller of a repeatable request sends it again under the new connection id.
 template<SlotPolicy Policy>
 void BalancerCore<Policy>::onOwnerLost(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message)
 {
@@ -229,7 +230,7 @@
     }
 }
 
-// Moves a flow off an owner that stops. True if the packet needs no relaying to that owner any more.
+// Adopts a flow whose owner is stopping. Returns true if the packet need not be relayed to that owner.
 template<SlotPolicy Policy>
 bool BalancerCore<Policy>::adoptFromStoppingOwner(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message)
 {
@@ -288,19 +289,19 @@
     if (const auto *announcement = std::get_if<Announcement>(&message)) {
         onTargetChanged(now, announcement->target, m_gossip.announce(now, *announcement));
     } else if (const auto *part = std::get_if<RunPart>(&message)) {
-        if (isOwnAttemptOrRelay(now, target, relayed, part->attempt, *part)) {
+        if (acceptOrRelay(now, target, relayed, part->attempt, *part)) {
             m_requests.handleRunPart(now, *part);
         }
     } else if (const auto *refused = std::get_if<RunRefused>(&message)) {
-        if (isOwnAttemptOrRelay(now, target, relayed, refused->attempt, *refused)) {
+        if (acceptOrRelay(now, target, relayed, refused->attempt, *refused)) {
             m_requests.handleRunRefused(now, *refused);
         }
     } else if (const auto *push = std::get_if<FeedPush>(&message)) {
-        if (isOwnAttemptOrRelay(now, target, relayed, push->attachment, *push)) {
+        if (acceptOrRelay(now, target, relayed, push->attachment, *push)) {
             m_feeds.push(now, target, *push);
         }
     } else if (const auto *attached = std::get_if<FeedAttached>(&message)) {
-        if (isOwnAttemptOrRelay(now, target, relayed, attached->attachment, *attached)) {
+        if (acceptOrRelay(now, target, relayed, attached->attachment, *attached)) {
             m_feeds.attached(target, *attached);
         }
     } else {
@@ -308,10 +309,10 @@
     }
 }
 
-// Whether the attempt is of this run of this balancer; passes the packet on to its maker if not.
+// Whether this incarnation of this balancer started the attempt; if not, the packet is relayed to the balancer that did.
 template<SlotPolicy Policy>
 template<typename Typed>
-bool BalancerCore<Policy>::isOwnAttemptOrRelay(TimePoint now, Endpoint target, const RelayedPacket *relayed, const AttemptKey &attempt, const Typed &message)
+bool BalancerCore<Policy>::acceptOrRelay(TimePoint now, Endpoint target, const RelayedPacket *relayed, const AttemptKey &attempt, const Typed &message)
 {
     if (attempt.owner == m_context.peers.self()) {
         return true;
@@ -320,7 +321,7 @@
     return false;
 }
 
-// A feed pushed to a run that is gone would go on for ever, so the target is told to stop.
+// A target would keep pushing a feed to an owner that is gone, so it is told to detach the feed.
 template<SlotPolicy Policy>
 void BalancerCore<Policy>::relayTarget(TimePoint now, Endpoint target, const RelayedPacket *relayed, BalancerKey owner, const Message &message)
 {
@@ -339,7 +340,7 @@
     m_context.send(peer->endpoint, RelayedPacket{m_context.peers.self(), ServiceId{}, target, hops, 0, encodeMessage(message)});
 }
 
-// ---- Change and time ----
+// ---- State changes and timers ----
 
 template<SlotPolicy Policy>
 void BalancerCore<Policy>::onTargetChanged(TimePoint now, TargetId target, AnnouncementEffect effect)
--- a/src/balancer_core.h
+++ b/src/balancer_core.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Balancer core: decides for every packet who handles it, and drives the engines. No I/O.
+// Balancer core: routes each packet to the balancer that owns its flow, and drives the engines. Performs no I/O.
 //
-// Daemon, tests and benchmark drive it alike: handle…() and tick() with the time passed in, then take
-// the outbox. Any balancer may get any packet of a flow; the connection id says who owns the flow.
+// The daemon, tests and benchmarks drive it the same way: they call handleCaller(), handleTarget(), handlePeer() and tick()
+// with the current time, then takeOutbox(). Any balancer may receive any packet of a flow; the connection id names the owner.
 #pragma once
 
 #include "balancer_context.h"
@@ -14,16 +14,16 @@
 
 namespace Robinrail {
 
-// The daemon calls tick() about this often.
+// Nominal interval between calls of tick().
 inline constexpr Duration TickInterval = std::chrono::milliseconds(20);
 
-// Most times that a packet is passed on between balancers.
+// Maximum number of times that a packet is relayed between balancers.
 inline constexpr std::uint8_t MaxRelayHops = 3;
 
-// A feed that was not polled for this long is detached; three polls of a caller are less.
+// A feed that was not polled for this long is detached. Longer than three poll intervals of a caller.
 inline constexpr Duration FeedIdleTime = std::chrono::seconds(15);
 
-// Idle flows and feeds are looked for this often.
+// Interval between scans for idle flows and feeds.
 inline constexpr Duration SweepInterval = std::chrono::seconds(1);
 
 template<SlotPolicy Policy>
@@ -32,31 +32,31 @@
 public:
     explicit BalancerCore(const BalancerSettings &settings);
 
-    // Takes the services of a bundle if its version is higher than that in force; answers whether it was.
+    // Applies the services of a bundle if its version is higher than the current one. Returns whether it was applied.
     bool applyBundle(TimePoint now, std::uint64_t version, std::span<const ServiceSettings> services);
 
     // Replaces the connection id keys, newest first.
     void applyKeys(std::vector<VersionedMacKey> keys);
 
-    // A packet that a caller sent to an address of `service`.
+    // Handles a packet that a caller sent to an address of `service`.
     void handleCaller(TimePoint now, ServiceId service, Endpoint caller, const Message &message);
 
-    // A packet that a target sent to this balancer or to the fabric.
+    // Handles a packet that a target sent to this balancer or to the fabric.
     void handleTarget(TimePoint now, Endpoint target, const Message &message);
 
-    // A packet of another balancer, already authenticated.
+    // Handles a packet of another balancer that the transport has authenticated.
     void handlePeer(TimePoint now, Endpoint peer, const Message &message);
 
     void tick(TimePoint now);
 
-    // Begins a planned stop; finished() says when the process may end.
+    // Starts a graceful shutdown; finished() reports when the process may exit.
     void stop(TimePoint now, Duration linger = DefaultLinger);
     bool finished(TimePoint now) const;
 
-    // Whether this balancer knows its peers and targets well enough to be given traffic.
+    // Whether this balancer has learned enough about its peers and targets to receive traffic.
     bool ready() const;
 
-    // The routing decision for a packet of an established flow, alone, for the benchmark.
+    // Routing decision for a packet of an established flow, without side effects; for tests and benchmarks.
     std::optional<BalancerKey> route(const SealedConnectionId &sealed, ServiceId service) const;
 
     // Datagrams to send since the last call.
@@ -67,7 +67,7 @@
     std::size_t queued(ServiceId service) const;
 
 private:
-    // A caller's packet on its way through this balancer.
+    // Routing metadata of a caller's packet.
     struct CallerPacket {
         ServiceId service{};
         Endpoint caller;
@@ -101,7 +101,7 @@
     void relay(TimePoint now, const CallerPacket &packet, BalancerKey to, const Message &message);
     void relayTarget(TimePoint now, Endpoint target, const RelayedPacket *relayed, BalancerKey owner, const Message &message);
     template<typename Typed>
-    bool isOwnAttemptOrRelay(TimePoint now, Endpoint target, const RelayedPacket *relayed, const AttemptKey &attempt, const Typed &message);
+    bool acceptOrRelay(TimePoint now, Endpoint target, const RelayedPacket *relayed, const AttemptKey &attempt, const Typed &message);
     void dispatchTarget(TimePoint now, Endpoint target, const RelayedPacket *relayed, const Message &message);
     void handleRelayed(TimePoint now, const RelayedPacket &relayed);
     void handleHandover(TimePoint now, Endpoint peer, const HandoverFlows &handover);
@@ -115,7 +115,7 @@
     FeedEngine m_feeds;
     Gossip m_gossip;
     Handover m_handover;
-    std::unordered_map<std::uint64_t, Adopted> m_adopted; // By the flow's previous id.
+    std::unordered_map<std::uint64_t, Adopted> m_adopted; // Keyed by the flow's previous id.
     std::unordered_map<std::uint64_t, PreviousOwner> m_previousOwners; // Of flows received by handover.
     TimePoint m_started;
     bool m_hasStarted = false;
--- a/src/balancer_peers.cpp
+++ b/src/balancer_peers.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Balancer core: what balancers say to each other.
+// Balancer core: packets exchanged between balancers.
 #include "balancer_core.h"
 
 #include <optional>
@@ -85,7 +85,7 @@
         flow.service = entry.service;
         Flow *inserted = m_context.flows.insert(entry.flow, flow);
         if (inserted == nullptr || m_handover.destination(entry.flow)) {
-            continue; // Sent again, or handed on already.
+            continue; // Retransmitted, or already handed over to another balancer.
         }
         ++m_context.counters.flowsReceived;
         m_previousOwners[value(entry.flow)] = {handover.from, now};
--- a/src/caller_session.cpp
+++ b/src/caller_session.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Caller session: implementation.
+// Caller session: retransmission, repeats and feed polling.
 #include "caller_session.h"
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 
 namespace {
 
-// Flow ids that a session remembers; answers of older ones are not accepted any more.
+// Number of flow ids that a session keeps; answers for older ids are ignored.
 constexpr std::size_t MaxKnownFlows = 8;
 
-// A request is not asked again sooner than this.
+// Minimum delay before a request is repeated.
 constexpr Duration MinRepeatPause = std::chrono::milliseconds(20);
 
 } // namespace
@@ -146,7 +146,8 @@
     return pending.message.repeatable && refusal.outcome == Outcome::OutcomeUnknown && now + pause < pending.deadline;
 }
 
-// By then the new connection id has usually come, as it is sent before the refusal.
+// Sends repeats under the current connection id. If the flow has moved, its new id has usually arrived by then, as the balancer
+// sends it before the refusal.
 void CallerSession::sendDueRepeats(TimePoint now)
 {
     std::vector<Repeat> due;
@@ -174,7 +175,7 @@
 void CallerSession::handleItem(TimePoint now, const FeedItem &item)
 {
     if (!isKnownFlow(item.flow) || item.sequence != m_acknowledged + 1) {
-        return; // A repeat, or behind a gap that the next poll closes.
+        return; // A duplicate, or after a gap that the next poll fills.
     }
     ++m_acknowledged;
     m_lastItemAt = now;
--- a/src/caller_session.h
+++ b/src/caller_session.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Caller session: the caller's side of one flow, without I/O, for programs that call a service.
+// Caller session: client side of one flow, without I/O, for programs that call a service.
 //
-// A request is always sent again under the connection id that it was first sent with: that id names the
-// only balancer run that may execute it, which is what makes repeating the packet safe. A request that
-// may be repeated and whose outcome is unknown is asked again as a new one, within its deadline.
+// A request is always retransmitted under the connection id of its first transmission: that id names the only
+// balancer incarnation that may execute it, which makes retransmission safe. A repeatable request whose outcome
+// is unknown is repeated as a new request, within its deadline.
 #pragma once
 
 #include "answer_assembly.h"
@@ -14,40 +14,40 @@
 
 namespace Robinrail {
 
-// How often packets without an answer are sent again.
+// Retransmission intervals of packets without an answer.
 inline constexpr Duration OpenRetryInterval = std::chrono::milliseconds(250);
 inline constexpr Duration RequestRetryInterval = std::chrono::milliseconds(300);
 
-// A feed is polled this often; it keeps flows alive, too.
+// Interval between polls of a feed; polls also keep the flow from expiring.
 inline constexpr Duration PollInterval = std::chrono::milliseconds(1000);
 
-// A feed that has been quiet for this long is polled sooner, as an item may be lost.
+// A feed without an item for this long is polled at this interval instead, as an item may have been lost.
 inline constexpr Duration QuietPollInterval = std::chrono::milliseconds(300);
 
-// After its deadline a request waits this long for the final answer before it counts as unanswered.
+// Time after its deadline that a request waits for a final answer before it is reported as timed out.
 inline constexpr Duration AnswerGrace = std::chrono::seconds(2);
 
-// How a request ended for the caller.
+// Final result of a request.
 struct CallResult {
     RequestId request{};
     Outcome outcome = Outcome::OutcomeUnknown;
-    bool timedOut = false; // Nothing final came; the outcome is unknown.
+    bool timedOut = false; // No final answer arrived; the outcome is unknown.
     Duration took{};
     Duration retryAfter{};
-    std::vector<Bytes> parts; // Of an answered request, all of them in order.
+    std::vector<Bytes> parts; // All parts of the answer in order; empty unless answered.
 };
 
 class CallerSession
 {
 public:
-    // With a feed the session polls for items from sequence 1 on. The nonce tells its opening packet from
-    // those of other sessions of the same caller.
+    // `withFeed`: the session polls for feed items, starting with sequence 1. `nonce` distinguishes its opening
+    // packet from those of other sessions of the same caller.
     CallerSession(std::uint64_t nonce, bool withFeed);
 
     void tick(TimePoint now);
     void receive(TimePoint now, const Message &message);
 
-    // Sends a request; only once opened().
+    // Sends a request and returns its id. The session must be opened().
     RequestId request(TimePoint now, bool repeatable, Duration deadline, Bytes body);
     void cancel(RequestId request);
 
@@ -55,7 +55,7 @@
     std::vector<Message> takeOutbox();
     std::vector<CallResult> takeResults();
 
-    // Items since the last call, in order of their sequence and without a gap or a repeat.
+    // Feed items since the last call, in sequence order without gaps or duplicates.
     std::vector<FeedItem> takeItems();
 
     std::uint64_t acknowledged() const;
@@ -66,8 +66,8 @@
 private:
     struct Pending {
         Request message;
-        RequestId original{}; // What the program knows it as; another one after it was repeated.
-        bool mayHaveRun = false; // Under an earlier id, whose outcome was unknown.
+        RequestId original{}; // Id returned by request(); message.request differs once the request was repeated.
+        bool mayHaveRun = false; // An earlier transmission, under another id, ended with an unknown outcome.
         TimePoint sentFirst;
         TimePoint sentLast;
         TimePoint deadline;
@@ -86,7 +86,7 @@
     bool m_opened = false;
     TimePoint m_openSent;
     FlowId m_flow{};
-    std::vector<FlowId> m_flows; // All that this session has had, newest last.
+    std::vector<FlowId> m_flows; // Latest flow ids of this session, newest last.
     SealedConnectionId m_connectionId{};
     std::uint32_t m_lastRequest = 0;
     std::map<RequestId, Pending> m_pending;
@@ -94,7 +94,7 @@
         TimePoint at;
         Pending pending;
     };
-    std::vector<Repeat> m_repeats; // Refused, may be repeated, and not sent again yet.
+    std::vector<Repeat> m_repeats; // Repeatable requests with an unknown outcome that wait to be sent again.
     std::uint64_t m_acknowledged = 0;
     TimePoint m_pollSent;
     TimePoint m_lastItemAt;
--- a/src/connection_id.h
+++ b/src/connection_id.h
@@ -9,8 +9,8 @@
 
 namespace Robinrail {
 
-// What a connection id says. Any balancer can route a packet from this alone, because the fabric
-// may hand the packet to a balancer that has never seen the flow (kin: QUIC-LB, Cheetah).
+// Contents of a connection id. They suffice to route a packet, because the fabric may deliver it to a
+// balancer that has never seen the flow (similar to QUIC-LB and Cheetah).
 struct ConnectionId {
     ServiceId service{};
     TargetId target{};
@@ -28,14 +28,14 @@
 // 128-bit SipHash key.
 using MacKey = std::array<std::uint8_t, 16>;
 
-// A key with the version that travels in each id sealed by it.
+// A key, and the version that is carried in each id sealed with it.
 struct VersionedMacKey {
     std::uint8_t version = 0;
     MacKey key{};
 };
 
-// Seals and opens connection ids. Several key versions are accepted at once, so that keys rotate
-// while flows that hold older ids go on; only the newest one seals.
+// Seals and opens connection ids. Several key versions are accepted at the same time, so that keys can be rotated
+// without breaking flows with older ids; new ids are sealed with the newest key only.
 class ConnectionIdSealer
 {
 public:
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Fair queue: waiting requests, served in turn over their callers.
+// Fair queue: queued requests, served round robin over their callers.
 #pragma once
 
 #include "types.h"
@@ -13,8 +13,8 @@
 
 namespace Robinrail {
 
-// Serves callers in round robin, each in order of arrival, so that a caller that asks a lot waits for
-// itself and not others for it (fair queueing after Nagle, RFC 970, with requests for packets).
+// Serves callers round robin, and the requests of each in order of arrival, so that a caller with many requests
+// delays only itself (fair queueing after Nagle, RFC 970, applied to requests instead of packets).
 template<typename Item>
 class FairQueue
 {
@@ -31,7 +31,7 @@
         ++m_size;
     }
 
-    // The request whose turn it is.
+    // Removes the next request; empty if none is queued.
     std::optional<Item> pop()
     {
         if (m_turnOrder.empty()) {
@@ -46,7 +46,7 @@
         return item;
     }
 
-    // Puts a popped request back to the head of its caller's line, with the next turn.
+    // Returns a popped request to the head of its caller's queue, and gives that caller the next turn.
     void pushFront(Caller caller, Item item)
     {
         std::deque<Item> &queue = m_queues[caller];
@@ -58,8 +58,8 @@
         ++m_size;
     }
 
-    // Takes the newest request of the caller with the longest line, if that line is longer than
-    // `caller`'s own with one request more. Under overload this is the one to refuse.
+    // Removes the newest request of the caller with the longest queue, if that queue is longer than
+    // `caller`'s own would be with one more request. Under overload this is the request to refuse.
     std::optional<Item> evictFor(Caller caller)
     {
         auto longest = m_queues.end();
@@ -97,7 +97,7 @@
     }
 
     boost::unordered_flat_map<Caller, std::deque<Item>> m_queues;
-    std::deque<Caller> m_turnOrder; // Callers with a line, each once.
+    std::deque<Caller> m_turnOrder; // Callers with queued requests, each once.
     std::size_t m_size = 0;
 };
 
--- a/src/feed_engine.cpp
+++ b/src/feed_engine.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Feed engine: attachment, in-order passing on, resynchronization (go-back-N) and rebinding.
+// Feed engine: attachment, in-order delivery, resynchronization (go-back-N) and rebinding.
 #include "feed_engine.h"
 
 #include "target_choice.h"
@@ -21,14 +21,14 @@
         return;
     }
     if (acknowledged >= flow.nextSequence) {
-        // The caller is ahead, as the owner before this one went on for a while: skip what it has.
+        // The caller is ahead, because the previous owner delivered further items: skip them.
         flow.nextSequence = acknowledged + 1;
         return resync(now, id, flow);
     }
     if (flow.lastPush.elapsed(now) < MinResyncInterval) {
         return;
     }
-    // Nothing came for a while: either the feed is quiet, or an item or the attachment was lost.
+    // No item for a while: either the feed is idle, or an item or the attachment was lost.
     flow.nextSequence = acknowledged + 1;
     if (++flow.unansweredResyncs >= MaxUnansweredResyncs) {
         return rebindFromSilentTarget(now, id, flow);
@@ -36,7 +36,7 @@
     resync(now, id, flow);
 }
 
-// A target answers each attachment at once, if only with the item before; one that does not is left.
+// A target responds to each attachment at once, if only by repeating the previous item. One that does not respond is replaced.
 void FeedEngine::rebindFromSilentTarget(TimePoint now, FlowId id, Flow &flow)
 {
     if (Target *target = m_context.targets.find(flow.target); target != nullptr) {
@@ -73,7 +73,7 @@
     attachedFlow(target, message.flow, message.attachment);
 }
 
-// The flow of an attachment that is in force; the target is told to end any other.
+// Returns the flow of a current attachment; the target is told to detach any other.
 Flow *FeedEngine::attachedFlow(Endpoint target, FlowId id, const AttemptKey &attachment)
 {
     Flow *flow = m_context.flows.find(id);
--- a/src/feed_engine.h
+++ b/src/feed_engine.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: MIT
-// Feed engine: long flows whose items come from a target and are rebound when that target leaves.
+// Feed engine: streams items from a target to a caller, and rebinds the stream when the target leaves.
 //
-// The feed belongs to the service, not to one target: the owner knows the next sequence number, so it
-// can attach the flow to any target of the service without a gap or a repeat for the caller.
+// A feed is provided by the service, not by one target: the owner tracks the next sequence number, so it
+// can attach the flow to any target of the service without gaps or duplicates for the caller.
 #pragma once
 
 #include "balancer_context.h"
 
 namespace Robinrail {
 
-// Least time between two requests to a target to push again from a sequence number.
+// Minimum interval between two requests to a target to resume a feed at a sequence number.
 inline constexpr Duration MinResyncInterval = std::chrono::milliseconds(100);
 
-// After this many attachments in a row that brought nothing, the feed is bound to another target.
+// After this many consecutive resynchronizations without a response the feed is bound to another target.
 inline constexpr std::uint8_t MaxUnansweredResyncs = 3;
 
 class FeedEngine
@@ -20,13 +20,13 @@
 public:
     explicit FeedEngine(BalancerContext &context);
 
-    // The caller polls: attaches the feed if it is not, and sends again what the caller misses.
+    // Handles a poll of the caller: attaches the feed if needed, and resumes it after the last acknowledged item if items were lost.
     void poll(TimePoint now, FlowId id, Flow &flow, std::uint64_t acknowledged);
 
-    // A target pushed an item. Passes it on if it is the next one of an attachment of this balancer.
+    // Handles an item pushed by a target. Forwards it if it is the next item of a current attachment.
     void push(TimePoint now, Endpoint target, const FeedPush &push);
 
-    // A target confirms an attachment.
+    // Handles a target's confirmation of an attachment.
     void attached(Endpoint target, const FeedAttached &message);
 
     // Attaches a flow that was taken over from another balancer.
--- a/src/flow_table.h
+++ b/src/flow_table.h
@@ -8,21 +8,21 @@
 
 namespace Robinrail {
 
-// A flow without any packet for this long is dropped by its owner.
+// A flow without packets for this long expires at its owner.
 inline constexpr Duration FlowIdleTime = std::chrono::seconds(120);
 
-// Most flows that one balancer owns; opening one more is refused.
+// Maximum number of flows that one balancer owns; further ones are refused.
 inline constexpr std::size_t MaxFlows = 1'000'000;
 
-// Result of looking a request id up in the window of its flow.
+// Status of a request id in the window of its flow.
 enum class RequestAge : std::uint8_t {
     Fresh,
     Seen,
-    BelowWindow, // So old that it can't be told; treated as seen.
+    BelowWindow, // Too old for the window to tell; treated as seen.
 };
 
-// Remembers which of the last 64 request ids of a flow were taken, in 12 bytes. An id is taken before
-// anything is done for it, so that a duplicated packet can never start a request a second time
+// Records which of the last 64 request ids of a flow were seen, in 12 bytes. An id is recorded before its
+// request is processed, so that a duplicated packet can never start a request a second time
 // (the anti-replay window of IPsec, RFC 4303, section 3.4.3).
 class RequestWindow
 {
@@ -30,10 +30,10 @@
     RequestWindow() = default;
     RequestWindow(std::uint32_t highest, std::uint64_t bits);
 
-    // Whether the id was taken; takes nothing.
+    // Returns the status of the id without recording it.
     RequestAge lookUp(RequestId id) const;
 
-    // Takes the id; answers what it was before.
+    // Records the id; returns its status before the call.
     RequestAge record(RequestId id);
 
     std::uint32_t highest() const;
@@ -47,15 +47,15 @@
 // One owned flow. Kept small: a balancer holds hundreds of thousands.
 struct Flow {
     RequestWindow window;
-    std::uint64_t nextSequence = 1; // Of the feed: the next item that the caller has not been sent.
+    std::uint64_t nextSequence = 1; // Of the next feed item to send to the caller.
     std::uint64_t attachment = 0; // Serial of the feed attachment; 0 without one.
     CoarseTime lastActive;
-    CoarseTime lastPush; // When the feed last moved on, for spotting lost items.
+    CoarseTime lastPush; // Time of the last feed item or resynchronization, to detect lost items.
     Endpoint caller;
-    TargetId target{}; // Affinity of the flow, and where its feed is attached.
+    TargetId target{}; // Target that the flow is bound to, and its feed is attached to.
     ServiceId service{};
     std::uint16_t activeRequests = 0; // Requests queued or running.
-    std::uint8_t unansweredResyncs = 0; // Of the feed, in a row.
+    std::uint8_t unansweredResyncs = 0; // Consecutive feed resynchronizations without a response.
     bool handedOver = false; // Sent to the successor, not yet confirmed by it.
 };
 
--- a/src/gossip.cpp
+++ b/src/gossip.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Gossip: building and taking heartbeats.
+// Gossip: building and processing heartbeats.
 #include "gossip.h"
 
 #include <algorithm>
@@ -56,34 +56,34 @@
 {
     Heartbeat common = makeHeader();
     common.counter = ++m_counter;
-    for (PendingChange &news : m_pendingChanges) {
-        const Target *target = m_context.targets.find(news.target);
+    for (PendingChange &change : m_pendingChanges) {
+        const Target *target = m_context.targets.find(change.target);
         if (target != nullptr && common.news.size() < MaxAnnouncementsPerHeartbeat) {
             common.news.push_back(makeNews(now, *target));
         }
-        --news.repeats;
+        --change.repeats;
     }
-    std::erase_if(m_pendingChanges, [](const PendingChange &news) {
-        return news.repeats <= 0;
+    std::erase_if(m_pendingChanges, [](const PendingChange &change) {
+        return change.repeats <= 0;
     });
     const std::vector<BalancerId> gossipPeers = takeGossipPeers();
-    Heartbeat longer = common;
+    Heartbeat withRenewals = common;
     if (!gossipPeers.empty()) {
-        longer.renewals = takeRenewals(now);
+        withRenewals.renewals = takeRenewals(now);
     }
     const std::span<const Target> targets = std::as_const(m_context.targets).targets();
     for (const Peer &peer : m_context.peers.peers()) {
-        const auto forwarded = std::find(gossipPeers.begin(), gossipPeers.end(), peer.id);
-        if (forwarded == gossipPeers.end()) {
+        const auto gossipPeer = std::find(gossipPeers.begin(), gossipPeers.end(), peer.id);
+        if (gossipPeer == gossipPeers.end()) {
             m_context.send(peer.endpoint, common);
             continue;
         }
-        Heartbeat own = longer;
-        if (!targets.empty() && own.news.empty() && forwarded == gossipPeers.begin() && m_counter % AntiEntropyHeartbeats == 0) {
-            // One full announcement in turn repairs whatever news was lost.
-            own.news.push_back(makeNews(now, targets[m_nextAntiEntropy++ % targets.size()]));
+        Heartbeat message = withRenewals;
+        if (!targets.empty() && message.news.empty() && gossipPeer == gossipPeers.begin() && m_counter % AntiEntropyHeartbeats == 0) {
+            // Anti-entropy: one full announcement, chosen round robin, repairs lost updates.
+            message.news.push_back(makeNews(now, targets[m_nextAntiEntropy++ % targets.size()]));
         }
-        m_context.send(peer.endpoint, own);
+        m_context.send(peer.endpoint, message);
     }
 }
 
@@ -110,8 +110,8 @@
 
 void Gossip::broadcastChange(TimePoint now, TargetId target)
 {
-    std::erase_if(m_pendingChanges, [target](const PendingChange &news) {
-        return news.target == target;
+    std::erase_if(m_pendingChanges, [target](const PendingChange &change) {
+        return change.target == target;
     });
     m_pendingChanges.push_back({target, ChangeRepeats});
     Heartbeat urgent = makeHeader();
@@ -135,7 +135,7 @@
     }
 }
 
-// Begins where the last one ended, so that with more targets than fit all have their turn.
+// Continues where the previous call ended, so that every target is included in turn if they don't all fit.
 std::vector<TargetRenewal> Gossip::takeRenewals(TimePoint now)
 {
     std::vector<TargetRenewal> renewals;
--- a/src/gossip.h
+++ b/src/gossip.h
@@ -1,39 +1,39 @@
 // SPDX-License-Identifier: MIT
-// Gossip: heartbeats between balancers, and the news of targets that ride on them.
+// Gossip: heartbeats between balancers, which also carry updates on targets.
 #pragma once
 
 #include "balancer_context.h"
 
 namespace Robinrail {
 
-// News of a target that joined or drains goes to every peer at once and in this many heartbeats more.
+// The announcement of a target that joined or drains is sent to every peer at once, and again in this many heartbeats.
 inline constexpr int ChangeRepeats = 3;
 
-// A target's renewal is passed on when it is this much newer than the last one that was, to this many peers.
-// Four rounds fit into a lease, and a round of fan-out 3 misses a peer in about 6 of 100 cases.
+// A target's renewal is forwarded to RenewalFanOut peers when it is this much newer than the last forwarded one.
+// Four rounds fit into a lease, and a round with fan-out 3 misses a given peer in about 6 of 100 cases.
 inline constexpr Duration MinRenewalAdvance = TargetLease / 4;
 inline constexpr int RenewalFanOut = 3;
 
-// Every so many heartbeats one full announcement goes along.
+// Interval, in heartbeats, at which one full announcement is included.
 inline constexpr std::uint64_t AntiEntropyHeartbeats = 2;
 
-// Most full announcements in one heartbeat; the rest follows in further ones.
+// Maximum number of full announcements in one heartbeat; the rest is sent in further ones.
 inline constexpr std::size_t MaxAnnouncementsPerHeartbeat = 10;
 
-// Most renewals in one heartbeat.
+// Maximum number of renewals in one heartbeat.
 inline constexpr std::size_t MaxRenewalsPerHeartbeat = 40;
 
-// Changes go to all peers, renewals to a few at a time (push gossip, Demers et al. 1987), so that an
-// idle balancer spends less than 1 KB/s whatever the number of targets it hears itself.
+// Sends state changes to all peers and renewals to a few at a time (push gossip, Demers et al. 1987), so that an
+// idle balancer sends less than 1 KB/s, independent of the number of targets that announce to it.
 class Gossip
 {
 public:
     explicit Gossip(BalancerContext &context);
 
-    // Takes an announcement that a target sent to this balancer.
+    // Processes an announcement that a target sent to this balancer.
     AnnouncementEffect announce(TimePoint now, const Announcement &announcement);
 
-    // Takes a heartbeat; answers targets that joined, drained or came back by it.
+    // Processes a heartbeat; returns its effect, and the targets that it made join, recover or drain.
     struct HeartbeatResult {
         HeartbeatEffect effect = HeartbeatEffect::Stale;
         std::vector<TargetId> drained;
@@ -47,7 +47,7 @@
     // Sends a heartbeat to every peer now.
     void sendHeartbeats(TimePoint now);
 
-    // Names the balancer that has the flows of this one; it goes out with every further heartbeat.
+    // Sets the balancer that took over the flows of this one; every further heartbeat announces it.
     void setSuccessor(BalancerKey successor);
 
 private:
@@ -55,7 +55,7 @@
         TargetId target{};
         int repeats = 0;
     };
-    // The newest renewal of a target that was passed on.
+    // The last forwarded renewal of a target.
     struct ForwardedRenewal {
         Incarnation incarnation{};
         TimePoint heard;
@@ -76,7 +76,7 @@
     std::size_t m_nextGossipPeer = 0;
     std::size_t m_nextAntiEntropy = 0;
     std::size_t m_nextRenewal = 0;
-    boost::unordered_flat_map<std::uint32_t, ForwardedRenewal> m_forwardedRenewals; // By target.
+    boost::unordered_flat_map<std::uint32_t, ForwardedRenewal> m_forwardedRenewals; // Keyed by target.
 };
 
 } // namespace Robinrail
--- a/src/handover.cpp
+++ b/src/handover.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Handover: implementation.
+// Handover: linger time, and transfer of flows to the successor.
 #include "handover.h"
 
 namespace Robinrail {
@@ -30,8 +30,8 @@
     if (chooseSuccessor()) {
         sendBatch(now);
     }
-    const bool empty = idle && m_context.flows.size() == 0;
-    if (!empty) {
+    const bool drained = idle && m_context.flows.size() == 0;
+    if (!drained) {
         m_drainedSince.reset();
     } else if (!m_drainedSince) {
         m_drainedSince = now;
@@ -73,8 +73,8 @@
     return m_successor.has_value();
 }
 
-// Flows that went to a successor which died before it confirmed must not go to a second one: the first
-// may have run requests on them. They are given up, and their callers' next packets open them anew.
+// Flows sent to a successor that was lost before it confirmed must not be sent to a second one: the first may
+// have run requests of them. They are dropped, and re-established by the next packets of their callers.
 void Handover::dropFlowsOfLostSuccessors()
 {
     std::vector<FlowId> lost;
@@ -95,9 +95,9 @@
     std::vector<HandoverFlows> batches;
     m_context.flows.forEach([&](FlowId id, Flow &flow) {
         const auto sent = m_sent.find(value(id));
-        const bool waiting = sent != m_sent.end() && now - sent->second.at < HandoverRetry;
-        const bool otherSuccessor = sent != m_sent.end() && sent->second.to != *m_successor;
-        if (flow.activeRequests > 0 || waiting || otherSuccessor) {
+        const bool awaitingConfirmation = sent != m_sent.end() && now - sent->second.at < HandoverRetry;
+        const bool sentToOther = sent != m_sent.end() && sent->second.to != *m_successor;
+        if (flow.activeRequests > 0 || awaitingConfirmation || sentToOther) {
             return;
         }
         if (batches.empty() || batches.back().flows.size() >= MaxFlowsPerHandover) {
@@ -106,7 +106,7 @@
             }
             batches.push_back({m_context.peers.self(), *m_successor, {}});
         }
-        // The fence: from here on this balancer runs nothing on the flow, whether the datagram arrives or not.
+        // Fencing: from here on this balancer runs no request of the flow, whether the datagram arrives or not.
         if (!flow.handedOver) {
             flow.handedOver = true;
             ++m_context.counters.flowsHandedOver;
--- a/src/handover.h
+++ b/src/handover.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Handover: the planned stop of a balancer without a broken flow or a lost request.
+// Handover: graceful shutdown of a balancer without broken flows or lost requests.
 //
-// Most flows move by themselves: once a balancer says that it stops, whoever gets a packet of its flows
-// adopts the flow under a new id, at no control traffic. What has not moved when the linger time is
-// over goes to one successor with its request windows, so that at most once holds across the move.
+// Most flows move without control traffic: once a balancer announces that it is stopping, any peer that gets
+// a packet of one of its flows adopts the flow under a new id. Flows that have not moved when the linger time
+// is over are sent to one successor with their request windows, which preserves at-most-once execution.
 #pragma once
 
 #include "balancer_context.h"
@@ -13,17 +13,17 @@
 
 namespace Robinrail {
 
-// How long a stopping balancer waits for its callers' next packets; more than three polls of a caller.
+// Time that a stopping balancer waits for the next packets of its callers; longer than three poll intervals of a caller.
 inline constexpr Duration DefaultLinger = std::chrono::seconds(8);
 
-// Flows in one datagram, and datagrams in one tick.
+// Maximum number of flows per datagram, and of datagrams per tick.
 inline constexpr std::size_t MaxFlowsPerHandover = 10;
 inline constexpr int MaxHandoversPerTick = 100;
 
-// Unconfirmed flows are sent to the same successor again after this time.
+// Unconfirmed flows are retransmitted to the same successor at this interval.
 inline constexpr Duration HandoverRetry = std::chrono::milliseconds(200);
 
-// The stopped balancer stays this long after the last flow went, to answer what is asked again.
+// After its last flow was handed over, a stopped balancer keeps running for this long to answer retransmitted requests.
 inline constexpr Duration HandoverGracePeriod = std::chrono::seconds(3);
 
 class Handover
@@ -31,19 +31,19 @@
 public:
     Handover(BalancerContext &context, Gossip &gossip);
 
-    // Begins the planned stop.
+    // Starts the graceful shutdown.
     void begin(TimePoint now, Duration linger);
 
-    // Hands flows on when it is time. `idle` says whether no request waits or runs here.
+    // Sends flows to the successor once the linger time is over. `idle`: no request is queued or running here.
     void tick(TimePoint now, bool idle);
 
-    // The successor confirms flows.
+    // Handles the successor's confirmation of flows.
     void confirm(const HandoverReceived &message);
 
-    // Where a flow went that this balancer handed over; empty for any other.
+    // Successor that a flow was handed over to; empty if it was not handed over.
     std::optional<BalancerKey> destination(FlowId flow) const;
 
-    // Whether the process may end.
+    // Whether the process may exit.
     bool finished(TimePoint now) const;
 
 private:
--- a/src/hash.h
+++ b/src/hash.h
@@ -9,7 +9,7 @@
 
 namespace Robinrail {
 
-// Mixes two numbers into one well spread number.
+// Hashes two numbers into a uniformly distributed one.
 inline std::uint64_t hashPair(std::uint64_t first, std::uint64_t second)
 {
     const std::uint64_t input[2] = {first, second};
@@ -17,8 +17,8 @@
 }
 
 // Score of one candidate in weighted rendezvous hashing (Thaler and Ravishankar 1998; logarithmic
-// weights after Schindelhauer and Schomaker 2005). The highest score wins, and a candidate that
-// comes or goes moves only the keys that it wins or held. A weight of 0 never wins.
+// weights after Schindelhauer and Schomaker 2005). The highest score wins; adding or removing
+// a candidate moves only the keys that it wins or had won. A weight of 0 never wins.
 inline double rendezvousScore(std::uint64_t key, std::uint64_t candidate, double weight)
 {
     constexpr double Scale = 0x1p-53;
--- a/src/offload_windows.cpp
+++ b/src/offload_windows.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Offload windows: implementation.
+// Offload deduplication: recording and pruning of attempts.
 #include "offload_windows.h"
 
 #include "hash.h"
--- a/src/offload_windows.h
+++ b/src/offload_windows.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Offload windows: which attempts of peers were taken or declined here. A repeated packet must not run one twice.
+// Offload deduplication: records which attempts of peers were accepted or declined here, so that a duplicated packet runs none twice.
 #pragma once
 
 #include "message.h"
@@ -8,16 +8,16 @@
 
 namespace Robinrail {
 
-// Attempts are remembered for this long, far above the longest deadline.
+// Retention time of recorded attempts; far above the longest deadline.
 inline constexpr Duration OffloadRetention = std::chrono::seconds(120);
 
-// Attempts of one peer run above which the old ones are looked for.
+// Number of recorded attempts of one peer incarnation above which expired ones are removed.
 inline constexpr std::size_t OffloadPruneThreshold = 4096;
 
 class OffloadDeduplicator
 {
 public:
-    // Whether this attempt comes here for the first time.
+    // Records the attempt; returns whether it was not recorded before.
     bool recordIfNew(TimePoint now, const AttemptKey &attempt);
 
 private:
@@ -25,7 +25,7 @@
         std::unordered_map<std::uint64_t, TimePoint> seen;
         std::uint64_t floor = 0; // Serials up to here count as seen.
     };
-    std::unordered_map<std::uint64_t, Window> m_windows; // By hash of the peer run.
+    std::unordered_map<std::uint64_t, Window> m_windows; // Keyed by the hash of the peer's id and incarnation.
 };
 
 } // namespace Robinrail
--- a/src/peer_table.cpp
+++ b/src/peer_table.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Peer table: heartbeats, incarnations, suspicion and redirects.
+// Peer table: heartbeats, incarnations, failure detection and redirects.
 #include "peer_table.h"
 
 #include "hash.h"
--- a/src/peer_table.h
+++ b/src/peer_table.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Peer table: which balancers are alive, which stop, and who took over from whom.
+// Peer table: liveness and shutdown state of the other balancers, and redirects to the successors of stopped ones.
 #pragma once
 
 #include "message.h"
@@ -9,22 +9,22 @@
 
 namespace Robinrail {
 
-// A balancer says that it is alive this often. Relayed packets count as signs of life too.
+// Interval between heartbeats. Relayed packets count as proof of liveness too.
 inline constexpr Duration HeartbeatInterval = std::chrono::milliseconds(500);
 
-// Four heartbeats: with a tenth of the packets lost, a live peer is suspected once in 10,000 intervals.
+// Four heartbeats: with 10% packet loss, a live peer is falsely suspected once in 10,000 intervals.
 inline constexpr Duration PeerTimeout = HeartbeatInterval * 4;
 
-// Most redirects that are followed from a stopped owner to the one that has its flows now.
+// Maximum number of redirects followed from a stopped owner to the current owner of its flows.
 inline constexpr int MaxRedirects = 16;
 
-// Where a peer listens, from the settings.
+// Listening address of a peer, from the settings.
 struct PeerAddress {
     BalancerId id{};
     Endpoint endpoint;
 };
 
-// What is known of one peer.
+// State of one peer.
 struct Peer {
     BalancerId id{};
     Endpoint endpoint;
@@ -35,7 +35,7 @@
     bool alive = false;
     bool stopping = false;
     std::uint64_t bundleVersion = 0;
-    boost::unordered_flat_map<std::uint16_t, std::uint16_t> freeSlots; // By service; a hint from the last relay.
+    boost::unordered_flat_map<std::uint16_t, std::uint16_t> freeSlots; // Keyed by service; a hint from the last relayed packet.
 
     BalancerKey key() const
     {
@@ -43,16 +43,16 @@
     }
 };
 
-// What a heartbeat changed.
+// Effect of a heartbeat.
 enum class HeartbeatEffect : std::uint8_t {
     Stale,
     Alive,
-    Joined, // First heartbeat of an incarnation, or a suspected peer that is back.
+    Joined, // First heartbeat of an incarnation, or a suspected peer that recovered.
     Stopping,
 };
 
-// A failure detector by heartbeats. Suspicion never endangers a promise: it only decides where
-// packets go, while the owner named in a connection id stays the only one that may run a request.
+// Failure detector based on heartbeats. A false suspicion cannot violate at-most-once execution: it only affects where
+// packets are routed, while the owner named in a connection id remains the only balancer that may run a request.
 class PeerTable
 {
 public:
@@ -60,17 +60,16 @@
 
     HeartbeatEffect heartbeat(TimePoint now, const Heartbeat &heartbeat);
 
-    // A sign of life other than a heartbeat.
+    // Records proof of liveness other than a heartbeat.
     void recordAlive(TimePoint now, BalancerKey key);
 
-    // Marks silent peers as gone; answers their keys as they were.
+    // Marks peers that timed out as gone; returns their keys.
     std::vector<BalancerKey> expire(TimePoint now);
 
-    // Notes that all flows of `from` are at `to` now.
+    // Records that `to` took over all flows of `from`.
     void redirect(BalancerKey from, BalancerKey to);
 
-    // The balancer run that has the flows of `owner` now; empty if it is gone.
-    // May answer this balancer itself.
+    // Balancer incarnation that has the flows of `owner` now, possibly this balancer itself; empty if it is gone.
     std::optional<BalancerKey> resolve(BalancerKey owner) const;
 
     Peer *find(BalancerId id);
@@ -78,14 +77,14 @@
     std::span<Peer> peers();
     std::span<const Peer> peers() const;
 
-    // Balancers that may be given new work, this one included unless it stops, in order of their id.
+    // Balancers that accept new work, ordered by id; includes this one unless it is stopping.
     struct Member {
         BalancerId id{};
         DataCentreId dataCentre{};
     };
     std::vector<Member> members() const;
 
-    // The live peer that inherits the flows of this balancer, by rendezvous hashing.
+    // Live peer that takes over the flows of this balancer, chosen by rendezvous hashing.
     std::optional<BalancerKey> chooseSuccessor() const;
 
     void setStopping();
@@ -93,7 +92,7 @@
     BalancerKey self() const;
     DataCentreId dataCentre() const;
 
-    // Changes whenever members() may have changed.
+    // Incremented whenever members() may have changed.
     std::uint64_t version() const;
 
 private:
--- a/src/request_attempts.cpp
+++ b/src/request_attempts.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Request engine: attempts to run requests, at targets, at peers, and for peers.
+// Request engine: attempts at targets, attempts offloaded to peers, and attempts hosted for peers.
 #include "request_engine.h"
 
 #include "hash.h"
@@ -19,7 +19,7 @@
     while (const std::optional<RequestKey> key = state.queue.pop()) {
         const auto at = m_pending.find(*key);
         if (at == m_pending.end()) {
-            continue; // Settled while it waited.
+            continue; // Completed while it was queued.
         }
         if (!dispatch(now, *key, at->second, state)) {
             state.queue.pushFront(at->second.caller.address, *key);
@@ -67,7 +67,7 @@
     m_timers.push({now + std::max(MinSlotHold, state.meanServiceTime() * SlotHoldFactor), TimerKind::SlotHold, serial, {}});
 }
 
-// Only what may be repeated has an end before its deadline: it is tried again elsewhere.
+// Only repeatable requests time out before their deadline, as they can be retried at another target.
 template<SlotPolicy Policy>
 void RequestEngine<Policy>::startAttemptTimeout(TimePoint now, const Pending &pending, std::uint64_t serial, const ServiceState &state)
 {
@@ -122,7 +122,7 @@
     return best;
 }
 
-// ---- Attempts for peers ----
+// ---- Attempts hosted for peers ----
 
 template<SlotPolicy Policy>
 void RequestEngine<Policy>::handleOffload(TimePoint now, Endpoint peer, const OffloadRequest &offload)
@@ -176,7 +176,7 @@
 {
     const auto at = m_attempts.find(part.attempt.serial);
     if (at == m_attempts.end()) {
-        return; // Late: the attempt was given up or is complete.
+        return; // Late: the attempt was cancelled or is complete.
     }
     Attempt &attempt = at->second;
     const PartEffect effect = attempt.assembly.add(part.index, part.count, part.body);
@@ -208,7 +208,7 @@
         const auto pending = m_pending.find(key);
         assert(pending != m_pending.end() && pending->second.attempt == serial);
         if (Peer *executor = m_context.peers.find(attempt.executor.id); executor != nullptr && attempt.kind == AttemptKind::Offloaded) {
-            // The slot that ran it has just become free.
+            // The executor's slot has just become free.
             ++executor->freeSlots[value(attempt.service)];
         }
         if (state != nullptr) {
--- a/src/request_engine.cpp
+++ b/src/request_engine.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Request engine: requests, from their admission to their final answer. Their attempts are in request_attempts.cpp.
+// Request engine: admission, queueing and completion of requests, and timers. Attempts are in request_attempts.cpp.
 #include "request_engine.h"
 
 #include "hash.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-// What may be said of a request that is given up: "not run" only if nothing can have run it.
+// Outcome of a refused request: NotRun only if it is certain that no target ran it.
 Outcome outcomeOf(bool provenNotRun, bool repeatable, RefusalReason reason)
 {
     if (provenNotRun) {
@@ -115,7 +115,7 @@
     const std::span<const Target> targets = m_context.targets.targetsOf(state.settings.id);
     std::uint32_t share = std::max(1U, countAssignedSlots(targets, state.settings.id));
     if (Policy::OffloadsToPeers) {
-        // What waits here may run at any balancer, so a small own share alone does not mean a long wait.
+        // Requests queued here can be offloaded to any balancer, so having few own slots does not by itself mean a long wait.
         share = std::max(share, countUsableSlots(targets, state.settings.id, now) / m_memberCount);
     }
     return Duration(static_cast<std::int64_t>(static_cast<double>(state.queue.size()) * state.meanMicroseconds / share));
@@ -150,7 +150,7 @@
     return m_pending.contains(key);
 }
 
-// ---- Ends ----
+// ---- Completion ----
 
 template<SlotPolicy Policy>
 void RequestEngine<Policy>::refuse(TimePoint now, RequestKey key, RefusalReason reason, Duration retryAfter)
@@ -291,7 +291,7 @@
     }
 }
 
-// ---- Time ----
+// ---- Timers and slot assignment ----
 
 template<SlotPolicy Policy>
 void RequestEngine<Policy>::tick(TimePoint now)
@@ -309,7 +309,7 @@
     }
 }
 
-// A balancer without any slot of its own, as while it stops, can only go on asking; once a tick is enough.
+// A balancer without slots of its own, for example while it is stopping, depends on its peers; asking them once per tick suffices.
 template<SlotPolicy Policy>
 void RequestEngine<Policy>::resetProbes()
 {
--- a/src/request_engine.h
+++ b/src/request_engine.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
 // Request engine: admission, queueing, attempts, retries and outcomes of the requests of owned flows.
 //
-// At most once: a request id is taken in its flow's window before anything else is done, only the owner
-// takes it, and each attempt ends as answered, explicitly refused, or unresolved. "Not run" is said only
-// with no unresolved attempt, and never followed by another one.
+// At-most-once execution: only the owner of a flow accepts its requests, a request id is recorded in the flow's window before
+// the request is processed, and each attempt ends as answered, explicitly refused, or unresolved. A request is reported as not
+// run only if it has no unresolved attempt, and no attempt follows that report.
 #pragma once
 
 #include "answer_assembly.h"
@@ -19,25 +19,25 @@
 
 namespace Robinrail {
 
-// Longest deadline that is honoured; a longer one is cut to this.
+// Maximum time left until a deadline; longer ones are capped to it.
 inline constexpr Duration MaxTimeLeft = std::chrono::seconds(60);
 
-// A repeatable attempt without its whole answer after this many usual service times is retried elsewhere.
+// A repeatable request without its complete answer after this many mean service times is retried at another target.
 inline constexpr int AttemptTimeoutFactor = 8;
 inline constexpr Duration MinAttemptTimeout = std::chrono::milliseconds(500);
 
-// An attempt that has not ended after this many usual service times no longer holds its slot: the answer
-// was probably lost. If it still runs, the target refuses what comes too much, and that is retried.
+// An attempt that has not ended after this many mean service times releases its slot, as its answer was probably
+// lost. If it still runs, the target refuses the excess attempts, which are then retried.
 inline constexpr int SlotHoldFactor = 8;
 inline constexpr Duration MinSlotHold = std::chrono::milliseconds(200);
 
-// The other parts of an answer follow the first within this time, or they are lost.
+// The other parts of an answer are considered lost if they don't arrive within this time.
 inline constexpr Duration PartialAnswerTime = std::chrono::milliseconds(400);
 
-// A balancer without any slot of its own asks this many peers in one tick without a hint that they have one.
+// Number of peers that a balancer without slots of its own asks per request and tick without a hint that they have a free one.
 inline constexpr int MaxProbes = 3;
 
-// Shortest retry-after that a refusal names, and the one when no target serves at all.
+// Minimum retry-after of a refusal, and the retry-after if no target is serving.
 inline constexpr Duration MinRetryAfter = std::chrono::milliseconds(50);
 inline constexpr Duration NoTargetRetryAfter = std::chrono::seconds(1);
 
@@ -47,27 +47,27 @@
 public:
     explicit RequestEngine(BalancerContext &context);
 
-    // Takes the services of a bundle. Queues and budgets of services that stay are kept.
+    // Applies the services of a bundle. Services that remain keep their queues and retry budgets.
     void applyServices(std::span<const ServiceSettings> services);
     bool knowsService(ServiceId service) const;
 
-    // Takes a request of an owned flow; its answer or refusal goes to the outbox now or later.
+    // Accepts a request of an owned flow; its answer or refusal is put into the outbox now or later.
     void accept(TimePoint now, FlowId flowId, Endpoint caller, const Request &request);
 
-    // Sends the final answer of a settled request again; false if it is not held.
+    // Resends the final answer of a completed request; false if it is not cached.
     bool resend(RequestKey key, Endpoint caller);
     bool isPending(RequestKey key) const;
 
-    // Refuses a request without any state, in the one way that is true whatever became of it.
+    // Refuses a request that this balancer has no state of: it may or may not have run, so its outcome is reported as unknown.
     void refuseOutcomeUnknown(FlowId flow, Endpoint caller, RequestId request, RefusalReason reason);
 
     void cancel(TimePoint now, RequestKey key);
 
-    // Answers of targets and peers to attempts of this balancer.
+    // Handle responses of targets and peers to attempts of this balancer.
     void handleRunPart(TimePoint now, const RunPart &part);
     void handleRunRefused(TimePoint now, const RunRefused &refusal);
 
-    // A peer asks to run an attempt here, or to stop one.
+    // Handle a peer's request to run an attempt here, or to cancel one.
     void handleOffload(TimePoint now, Endpoint peer, const OffloadRequest &offload);
     void cancelHosted(const CancelRun &cancel);
 
@@ -75,13 +75,13 @@
     void onPeerLost(TimePoint now, BalancerKey peer);
     void onTargetLost(TimePoint now, TargetId target);
 
-    // Deals slots anew if members or targets changed, and runs what was due.
+    // Reassigns slots if members or targets changed, runs due timers, and dispatches queued requests.
     void tick(TimePoint now);
 
-    // Free slots that a peer may ask for: none while requests of this balancer wait.
+    // Free slots offered to peers; 0 while requests are queued here.
     std::uint16_t offloadableSlots(ServiceId service, TimePoint now) const;
 
-    // Whether no request waits or runs here, for itself or for a peer.
+    // Whether no request is queued or running here, for this balancer or for a peer.
     bool idle() const;
     std::size_t queued(ServiceId service) const;
 
@@ -90,7 +90,7 @@
         ServiceSettings settings;
         FairQueue<RequestKey> queue;
         RetryBudget budget;
-        double meanMicroseconds = InitialMeanMicroseconds; // Moving average, microseconds.
+        double meanMicroseconds = InitialMeanMicroseconds; // Exponential moving average of the service time.
 
         Duration meanServiceTime() const
         {
@@ -105,7 +105,7 @@
         bool repeatable = false;
         int unresolvedAttempts = 0; // Sent and not explicitly refused.
         int probes = 0; // Peers asked without a hint since the last tick.
-        std::uint64_t attempt = 0; // The running one; 0 while queued.
+        std::uint64_t attempt = 0; // Serial of the running attempt; 0 while queued.
         std::vector<TargetId> avoid;
         Bytes body;
     };
@@ -174,7 +174,7 @@
     void assignSlots(TimePoint now);
 
     BalancerContext &m_context;
-    std::unordered_map<std::uint16_t, ServiceState> m_services; // By service.
+    std::unordered_map<std::uint16_t, ServiceState> m_services; // Keyed by service.
     std::unordered_map<RequestKey, Pending, RequestKeyHash> m_pending;
     std::unordered_map<std::uint64_t, Attempt> m_attempts;
     OffloadDeduplicator m_offloadDeduplicator;
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: MIT
-// Retry budget: keeps retries to a share of the requests, so that they cannot multiply an overload.
+// Retry budget: limits retries to a fraction of the requests, so that they cannot amplify an overload.
 #pragma once
 
 #include <algorithm>
 
 namespace Robinrail {
 
-// A token bucket that each request fills a little and each retry empties by one
-// (the budget of Finagle's retry filter is kin).
+// Token bucket: each request adds a fraction of a token, and each retry consumes one
+// (similar to the budget of Finagle's retry filter).
 class RetryBudget
 {
 public:
-    // Retries per request that are allowed in the long run, and how many may come at once.
+    // Retries per request that are allowed in the long run, and the maximum burst of retries.
     explicit RetryBudget(double ratio = DefaultRatio, double burst = DefaultBurst)
         : m_ratio(ratio)
         , m_burst(burst)
@@ -24,7 +24,7 @@
         m_tokens = std::min(m_burst, m_tokens + m_ratio);
     }
 
-    // Takes one retry; false if the budget is spent.
+    // Consumes the token of one retry; false if the budget is exhausted.
     bool tryConsume()
     {
         if (m_tokens < 1.0) {
--- a/src/settled_answers.cpp
+++ b/src/settled_answers.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Settled answers: a map with first-in, first-out expiry.
+// Answer cache: a map with first-in, first-out expiry.
 #include "settled_answers.h"
 
 namespace Robinrail {
--- a/src/settled_answers.h
+++ b/src/settled_answers.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Settled answers: recent final answers, kept so that a caller that lost one gets the same again.
+// Answer cache: recent final answers, so that a caller whose answer was lost gets the same answer again.
 #pragma once
 
 #include "message.h"
@@ -11,13 +11,13 @@
 
 namespace Robinrail {
 
-// A final answer is kept this long after it was last given first.
+// A final answer is kept for this long after it was first sent.
 inline constexpr Duration AnswerCacheTime = std::chrono::seconds(5);
 
-// Most bytes of answer bodies that are kept; the oldest go first.
+// Maximum size of the cached messages; the oldest are evicted first.
 inline constexpr std::size_t AnswerCacheBytes = std::size_t{32} << 20U;
 
-// A request within a deployment.
+// Identifies a request within a deployment.
 struct RequestKey {
     FlowId flow{};
     RequestId request{};
@@ -33,13 +33,13 @@
     }
 };
 
-// Keeps the final messages of settled requests for a while, bounded in time and bytes.
+// Caches the final messages of completed requests, bounded in time and size.
 class AnswerCache
 {
 public:
     void insert(TimePoint now, RequestKey key, std::vector<Message> messages);
 
-    // The messages of a settled request; empty if it is not held (any more).
+    // Final messages of a completed request; empty if they are not cached.
     std::span<const Message> find(RequestKey key) const;
 
     void expire(TimePoint now);
--- a/src/slot_policy.cpp
+++ b/src/slot_policy.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Slot policies: dealing by rank in the common view of targets and members, without a message.
+// Slot policies: deterministic assignment from the common view of targets and members, without messages.
 //
-// Two balancers with different views deal differently for a while; then a slot is promised twice and
-// the target refuses the second attempt, which is retried elsewhere. No promise rests on the deal.
+// While the views of two balancers differ, a slot may be assigned twice; the target then refuses the second
+// attempt, which is retried elsewhere. Correctness does not depend on the assignment.
 #include "slot_policy.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Members that slots of a target in `dataCentre` are dealt to: those beside it, or all if there are none.
+// Members that targets in `dataCentre` are assigned to: those in the same data centre, or all if there are none.
 std::vector<BalancerId> eligibleMembers(std::span<const PeerTable::Member> members, DataCentreId dataCentre)
 {
     std::vector<BalancerId> local;
@@ -25,23 +25,23 @@
     return local.empty() ? all : local;
 }
 
-// Deals `unitsOf(target)` cards of each target in turn to the members of its data centre, and calls
-// take(target, count) with the cards that fall to `self`.
+// Assigns `unitsOf(target)` units of each target round robin to its eligible members, and calls
+// assign(target, count) with the number of units of `self`.
 template<typename UnitsOf, typename Assign>
 void assignRoundRobin(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, UnitsOf unitsOf, Assign assign)
 {
     constexpr std::size_t DataCentreCount = 256;
     std::vector<std::size_t> nextMember(DataCentreCount, 0);
-    std::vector<std::vector<BalancerId>> eligible(DataCentreCount);
+    std::vector<std::vector<BalancerId>> eligibleByDataCentre(DataCentreCount);
     for (Target *target : targets) {
         const DataCentreId dataCentre = target->announcement.dataCentre;
-        std::vector<BalancerId> &local = eligible[value(dataCentre)];
-        if (local.empty()) {
-            local = eligibleMembers(members, dataCentre);
+        std::vector<BalancerId> &eligible = eligibleByDataCentre[value(dataCentre)];
+        if (eligible.empty()) {
+            eligible = eligibleMembers(members, dataCentre);
         }
         std::uint16_t ownUnits = 0;
-        for (std::uint16_t unit = 0; unit < unitsOf(*target) && !local.empty(); ++unit) {
-            ownUnits += local[nextMember[value(dataCentre)]++ % local.size()] == self ? 1 : 0;
+        for (std::uint16_t unit = 0; unit < unitsOf(*target) && !eligible.empty(); ++unit) {
+            ownUnits += eligible[nextMember[value(dataCentre)]++ % eligible.size()] == self ? 1 : 0;
         }
         assign(*target, ownUnits);
     }
--- a/src/slot_policy.h
+++ b/src/slot_policy.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Slot policies: three ways to share the slots of a host among balancers that cannot talk for each
-// request. docs/DECISIONS.md compares them; the daemons use PartitionedSlots with offload.
+// Slot policies: ways to share the slots of a target among balancers that cannot coordinate per request.
+// docs/DECISIONS.md compares them; the daemons use PartitionedSlots, with offload.
 #pragma once
 
 #include "peer_table.h"
@@ -11,8 +11,8 @@
 
 namespace Robinrail {
 
-// A policy says how many slots of each target this balancer may fill, and whether it may ask a peer
-// with a free slot to run an attempt.
+// A policy determines how many slots of each target this balancer may use, and whether it may offload an attempt
+// to a peer with a free slot.
 template<typename Policy>
 concept SlotPolicy = requires(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now)
 {
@@ -22,26 +22,26 @@
     Policy::assignSlots(targets, members, self, now);
 };
 
-// Every balancer fills any free slot that it knows of: the target's slots less its own attempts, less
-// what the target last reported of others. Reports lag, so targets refuse the surplus.
+// Every balancer uses any slot that it believes to be free: the target's slots, less the running attempts of others that the
+// target last reported. Reports lag behind, so targets refuse the excess attempts.
 struct OptimisticSlots {
     static constexpr bool OffloadsToPeers = false;
     static void assignSlots(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
 
-// Each target belongs to one balancer, which alone fills its slots.
+// Each target is assigned to one balancer, which alone uses its slots.
 struct PartitionedTargets {
     static constexpr bool OffloadsToPeers = true;
     static void assignSlots(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
 
-// Each single slot belongs to one balancer; nothing is moved between balancers.
+// Each slot is assigned to one balancer; attempts are not offloaded.
 struct PartitionedSlotsNoOffload {
     static constexpr bool OffloadsToPeers = false;
     static void assignSlots(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
 };
 
-// Each single slot belongs to one balancer, and a balancer without a free one asks a peer that has.
+// Each slot is assigned to one balancer; a balancer without a free slot offloads attempts to a peer that has one.
 struct PartitionedSlots {
     static constexpr bool OffloadsToPeers = true;
     static void assignSlots(std::span<Target *const> targets, std::span<const PeerTable::Member> members, BalancerId self, TimePoint now);
--- a/src/target_choice.cpp
+++ b/src/target_choice.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Target choice: bounded rendezvous for flows, least filled slot for attempts.
+// Target choice: rendezvous hashing with bounded load for feeds, least utilized target for attempts.
 #include "target_choice.h"
 
 #include "hash.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A target may hold this much more than its fair part before hashing passes it over.
+// A target with this multiple of its fair share of feeds is skipped.
 constexpr double LoadBound = 1.25;
 
 bool serves(const Target &target, ServiceId service)
@@ -24,15 +24,15 @@
     return serves(target, service) && target.running < target.assignedSlots && acceptsAttempt(target, now);
 }
 
-// Fill of a target as a fraction of the whole host, so that hosts fill evenly also with uneven shares.
-double fill(const Target &target)
+// Utilization as a fraction of all slots of the target, so that targets fill evenly even if slots are assigned unevenly.
+double utilization(const Target &target)
 {
     return static_cast<double>(target.running) / target.announcement.slots;
 }
 
 } // namespace
 
-Target *chooseFeedTarget(std::span<Target> targets, ServiceId service, FlowId flow, std::size_t members, std::optional<TargetId> avoid, TimePoint now)
+Target *chooseFeedTarget(std::span<Target> targets, ServiceId service, FlowId flow, std::size_t memberCount, std::optional<TargetId> avoid, TimePoint now)
 {
     double totalWeight = 0;
     double totalFeeds = 1;
@@ -50,7 +50,7 @@
         }
         const double weight = usableSlots(target, now);
         const double bound = std::ceil(LoadBound * totalFeeds * weight / totalWeight);
-        const std::size_t connectionShare = target.announcement.connections / std::max<std::size_t>(1, members);
+        const std::size_t connectionShare = target.announcement.connections / std::max<std::size_t>(1, memberCount);
         const bool responsive = target.id() != avoid && target.unansweredAttempts < UnansweredAttemptLimit;
         const std::pair rank(responsive, rendezvousScore(value(flow), value(target.id()), weight));
         if (target.feeds < bound && target.feeds < connectionShare && (best == nullptr || rank > bestRank)) {
@@ -69,7 +69,7 @@
         if (avoided || !hasFreeSlot(target, service, now)) {
             continue;
         }
-        if (best == nullptr || std::pair(fill(target), target.lastAttempt) < std::pair(fill(*best), best->lastAttempt)) {
+        if (best == nullptr || std::pair(utilization(target), target.lastAttempt) < std::pair(utilization(*best), best->lastAttempt)) {
             best = &target;
         }
     }
--- a/src/target_choice.h
+++ b/src/target_choice.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Target choice: where a flow is bound, and where its next request runs.
+// Target choice: selects the target that a feed is bound to, and the target that runs an attempt.
 #pragma once
 
 #include "message.h"
@@ -9,27 +9,27 @@
 
 namespace Robinrail {
 
-// Binds a flow by weighted rendezvous hashing with bounded load (Mirrokni, Thorup and Zadimoghaddam
-// 2016 for the bound): weights are usable slots, and a target that already has a quarter more feeds
-// than its fair part, or its part of the connection limit, is passed over while another is not.
-// Null without a serving target that has a connection to spare.
-// `avoid` and targets that were silent of late are taken only if no other is left.
-Target *chooseFeedTarget(std::span<Target> targets, ServiceId service, FlowId flow, std::size_t members, std::optional<TargetId> avoid, TimePoint now);
+// Binds a feed by weighted rendezvous hashing with bounded load (Mirrokni, Thorup and Zadimoghaddam
+// 2016 for the bound). Weights are usable slots. A target that already has a quarter more feeds than its
+// fair share, or this balancer's share of its connection limit, is skipped.
+// Returns null if no serving target has a connection to spare.
+// `avoid` and unresponsive targets are chosen only if there is no other.
+Target *chooseFeedTarget(std::span<Target> targets, ServiceId service, FlowId flow, std::size_t memberCount, std::optional<TargetId> avoid, TimePoint now);
 
-// Picks the target for an attempt among those with a free slot of this balancer's share: the least
-// filled first, then the one not used for longest. Targets in `avoid` refused this request before.
+// Selects the target for an attempt among those with a free slot assigned to this balancer: the least
+// utilized, then the least recently used. Targets in `avoid` refused or lost an earlier attempt.
 Target *chooseAttemptTarget(std::span<Target> targets, ServiceId service, std::span<const TargetId> avoid, TimePoint now);
 
-// Free slots of this balancer's share over the targets of the service.
+// Free slots assigned to this balancer, over all targets of the service.
 std::uint32_t countFreeSlots(std::span<const Target> targets, ServiceId service, TimePoint now);
 
-// All slots of this balancer's share over the targets of the service.
+// Slots assigned to this balancer, free or not, over all targets of the service.
 std::uint32_t countAssignedSlots(std::span<const Target> targets, ServiceId service);
 
-// Slots of all serving targets of the service, whoever's share they are in.
+// Usable slots of all serving targets of the service, whichever balancer they are assigned to.
 std::uint32_t countUsableSlots(std::span<const Target> targets, ServiceId service, TimePoint now);
 
-// Whether any target of the service serves.
+// Whether any target of the service is serving.
 bool anyServing(std::span<const Target> targets, ServiceId service);
 
 } // namespace Robinrail
--- a/src/target_table.cpp
+++ b/src/target_table.cpp
@@ -47,11 +47,11 @@
         return AnnouncementEffect::Stale;
     }
     if (known != nullptr && known->announcement.incarnation == announcement.incarnation) {
-        // A balancer that joined late learns here that the target is warm already.
+        // A balancer that joined later learns that the target has already finished its slow start.
         known->firstHeard = std::min(known->firstHeard, now - knownFor);
     }
     if (known != nullptr && versionOf(announcement) <= versionOf(known->announcement)) {
-        // Draining is taken at any sequence of the incarnation: an operator may have asked for it at a peer.
+        // Draining is accepted at any sequence of the incarnation: an operator may have requested it at a peer.
         const bool drains = announcement.draining && !known->announcement.draining && known->state == TargetState::Serving;
         if (!drains || announcement.incarnation != known->announcement.incarnation) {
             return AnnouncementEffect::Stale;
@@ -163,10 +163,10 @@
 
 Target &TargetTable::insert(const Announcement &announcement)
 {
-    Target fresh;
-    fresh.announcement = announcement;
+    Target target;
+    target.announcement = announcement;
     m_services[announcement.target] = announcement.service;
-    return *m_targets.insert(lowerBound(m_targets, announcement.service, announcement.target), fresh);
+    return *m_targets.insert(lowerBound(m_targets, announcement.service, announcement.target), target);
 }
 
 std::uint16_t incarnationBits(Incarnation incarnation)
--- a/src/target_table.h
+++ b/src/target_table.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Target table: which targets exist, learned from their announcements alone.
+// Target table: the known targets, learned only from their announcements.
 #pragma once
 
 #include "message.h"
@@ -9,21 +9,21 @@
 
 namespace Robinrail {
 
-// A target that has not been heard of for this long is taken for lost.
+// A target without an announcement or renewal for this long is considered lost.
 inline constexpr Duration TargetLease = std::chrono::seconds(12);
 
-// A lost or drained target is remembered for this long, so that late gossip cannot revive it.
+// A lost or drained target is kept as a tombstone for this long, so that delayed gossip cannot revive it.
 inline constexpr Duration TombstoneTime = std::chrono::seconds(60);
 
-// A target grows from one slot to all of them over this time after its first announcement.
+// Slow start: the usable slots of a target grow from one to all over this time after its first announcement.
 inline constexpr Duration SlowStartTime = std::chrono::seconds(4);
 
-// After a refusal the target gets nothing for this long, doubled with each refusal in a row up to the
-// maximum; a report of free slots is not believed against refusals that were seen.
+// After a refusal the target gets no attempt for this long, doubled with each consecutive refusal up to the
+// maximum. Refusals take precedence over the target's reports of free slots.
 inline constexpr Duration RefusalBackoff = std::chrono::milliseconds(20);
 inline constexpr Duration MaxRefusalBackoff = std::chrono::milliseconds(640);
 
-// This many attempts without any answer in a row mark a target as silent: it then gets one attempt at a time.
+// After this many consecutive attempts without an answer a target is unresponsive: it gets one attempt at a time.
 inline constexpr int UnansweredAttemptLimit = 3;
 
 enum class TargetState : std::uint8_t {
@@ -32,7 +32,7 @@
     Lost,
 };
 
-// What is known of one target, and what this balancer has running there.
+// State of one target, and of the work of this balancer on it.
 struct Target {
     Announcement announcement;
     TargetState state = TargetState::Serving;
@@ -41,9 +41,9 @@
     TimePoint backoffUntil;
     Duration refusalBackoff = RefusalBackoff;
     int unansweredAttempts = 0;
-    std::uint64_t lastAttempt = 0; // Serial of the newest attempt; the least recently used target goes first.
-    std::uint16_t assignedSlots = 0; // Slots dealt to this balancer.
-    std::uint16_t running = 0; // Attempts of this balancer.
+    std::uint64_t lastAttempt = 0; // Serial of the newest attempt; the least recently used target is preferred.
+    std::uint16_t assignedSlots = 0; // To this balancer, by the slot policy.
+    std::uint16_t running = 0; // Running attempts of this balancer.
     std::uint32_t feeds = 0; // Feeds attached by this balancer.
 
     TargetId id() const
@@ -52,7 +52,7 @@
     }
 };
 
-// Result of taking one announcement in.
+// Effect of an announcement.
 enum class AnnouncementEffect : std::uint8_t {
     Stale,
     Renewed,
@@ -60,19 +60,19 @@
     Drained,
 };
 
-// Keeps targets by lease. Per target the highest (incarnation, sequence) wins; draining is final
-// within an incarnation, because a target that said it leaves must not get new work from late news. A
-// known target keeps its service; an announcement for another one is stale until the target is forgotten.
+// Keeps targets by lease. The highest (incarnation, sequence) of a target wins. Draining is final within an incarnation,
+// because a target that is leaving must not get new work due to a delayed announcement. A known target keeps its service;
+// an announcement for another service is stale until the target's tombstone is dropped.
 class TargetTable
 {
 public:
-    // Takes an announcement that is `age` old, of a target that its teller has known for `knownFor`.
+    // Processes an announcement that is `age` old; its sender has known the target for `knownFor`.
     AnnouncementEffect announce(TimePoint now, const Announcement &announcement, Duration age = {}, Duration knownFor = {});
 
-    // Prolongs the lease of a known target; false if it is unknown in that incarnation.
+    // Renews the lease of a known target; false if that incarnation of it is unknown or lost.
     bool renew(TimePoint now, const TargetRenewal &renewal);
 
-    // Marks targets whose lease ran out as lost and drops old tombstones. Answers whether any changed.
+    // Marks targets whose lease expired as lost, and drops old tombstones. Returns whether any target was lost.
     bool expire(TimePoint now);
 
     Target *find(TargetId id);
@@ -82,31 +82,31 @@
     std::span<Target> targets();
     std::span<const Target> targets() const;
 
-    // Those of one service; what a request costs must not grow with the other services.
+    // Targets of one service, found without a scan of the others: the cost of a request must not grow with other services.
     std::span<Target> targetsOf(ServiceId service);
     std::span<const Target> targetsOf(ServiceId service) const;
 
-    // Changes whenever a target joins, drains, is lost or comes back.
+    // Incremented whenever a target joins, drains, is lost or recovers.
     std::uint64_t version() const;
 
 private:
     Target &insert(const Announcement &announcement);
 
     std::vector<Target> m_targets;
-    boost::unordered_flat_map<TargetId, ServiceId> m_services; // Where each target stands in the order.
+    boost::unordered_flat_map<TargetId, ServiceId> m_services; // Service of each target, to find its position in m_targets.
     std::uint64_t m_version = 0;
 };
 
-// What of an incarnation a renewal carries.
+// The low 16 bits of an incarnation, which a renewal carries.
 std::uint16_t incarnationBits(Incarnation incarnation);
 
-// Slots that may be used of a target at `now`: fewer while it starts, none unless it is serving.
+// Usable slots of a target at `now`: reduced during slow start, 0 unless it is serving.
 std::uint16_t usableSlots(const Target &target, TimePoint now);
 
-// Whether a new attempt may go to the target now, leaving slot counts aside.
+// Whether the target may get a new attempt at `now`, slot counts aside.
 bool acceptsAttempt(const Target &target, TimePoint now);
 
-// Notes that the target refused an attempt, or that it answered, or that an attempt ended in silence.
+// Record that the target refused an attempt, answered one, or left one without an answer.
 void recordRefusal(Target &target, TimePoint now);
 void recordAnswer(Target &target);
 void recordNoAnswer(Target &target);
--- a/tests/test_balancer.cpp
+++ b/tests/test_balancer.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Balancer core: focused cases through its packets, with a mocked caller and target at the interface.
+// Balancer core: single cases through its packets, with the test in the place of caller, target and peer.
 #include "balancer_core.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 constexpr ServiceId RateDesk{1};
 constexpr ServiceId DocVault{2};
 
-// One balancer with its outbox at hand.
+// One balancer with its clock and its outbox.
 class BalancerFixture
 {
 public:
@@ -73,7 +73,7 @@
         core.handleCaller(now, service, CallerEndpoint, message);
     }
 
-    // The first message of a kind in the outbox, which is emptied of all before it.
+    // Returns the first message of a type in the outbox, and discards all before it.
     template<typename Typed>
     std::optional<Typed> take()
     {
@@ -97,7 +97,7 @@
     }
 
     TimePoint now{seconds(1000)};
-    Duration timeLeft = seconds(5); // Of requests that are made from now on.
+    Duration timeLeft = seconds(5); // Of requests made from now on.
     BalancerCore<PartitionedSlots> core;
 
 private:
@@ -120,7 +120,7 @@
     CHECK(fixture.take<AnswerPart>()->body == Bytes{8});
 }
 
-TEST_CASE("a repeated packet runs nothing twice and gets the same answer again")
+TEST_CASE("a repeated packet runs no request twice and gets the same answer again")
 {
     BalancerFixture fixture;
     fixture.announce(1, 1);
@@ -158,7 +158,7 @@
     CHECK(fixture.rejected(RejectReason::UnexpectedType) == 1);
 }
 
-TEST_CASE("a refused attempt is retried at another target, and with none left it did not run")
+TEST_CASE("a refused attempt is retried at another target, and with none left reported as not run")
 {
     BalancerFixture fixture;
     fixture.announce(1, 1);
@@ -175,7 +175,7 @@
     CHECK(refusal.retryAfter > Duration(0));
 }
 
-TEST_CASE("without any target the refusal comes at once, with when to come back")
+TEST_CASE("without any target a request is refused at once, with a retry-after")
 {
     BalancerFixture fixture;
     const FlowOpened flow = fixture.open();
@@ -186,7 +186,7 @@
     CHECK(refusal.retryAfter == NoTargetRetryAfter);
 }
 
-TEST_CASE("a request whose target is lost is unknown at once, and never run again")
+TEST_CASE("a request whose target is lost ends with an unknown outcome at once, and is never run again")
 {
     BalancerFixture fixture;
     fixture.announce(1, 1);
@@ -201,7 +201,7 @@
     CHECK_FALSE(fixture.take<AnswerPart>());
 }
 
-TEST_CASE("a cancelled request is cancelled at the target, and one that waits did not run")
+TEST_CASE("a cancelled request is cancelled at the target, and a queued one is reported as not run")
 {
     BalancerFixture fixture;
     fixture.announce(1, 1);
@@ -216,7 +216,7 @@
     CHECK(fixture.take<Refusal>()->outcome == Outcome::OutcomeUnknown);
 }
 
-TEST_CASE("at its deadline a request that waits did not run, and one that runs is unknown")
+TEST_CASE("at its deadline a queued request is reported as not run, and a running one as unknown")
 {
     BalancerFixture fixture;
     fixture.announce(1, 1);
@@ -232,7 +232,7 @@
     CHECK(waiting.outcome == Outcome::NotRun);
 }
 
-TEST_CASE("an attempt that takes far too long gives its slot to the next request")
+TEST_CASE("an attempt that exceeds the slot hold time releases its slot to the next request")
 {
     BalancerFixture fixture;
     fixture.announce(1, 1);
@@ -247,7 +247,7 @@
     CHECK(fixture.take<AnswerPart>()->request == RequestId{1});
 }
 
-TEST_CASE("a request too large is refused, and the process goes on")
+TEST_CASE("a request with too large a body is refused")
 {
     BalancerFixture fixture;
     fixture.announce(1, 1);
@@ -258,7 +258,7 @@
     CHECK(fixture.take<Refusal>()->reason == RefusalReason::BadRequest);
 }
 
-TEST_CASE("a feed goes on at another target without a gap or a repeat when its target drains")
+TEST_CASE("a feed goes on at another target without gaps or duplicates when its target drains")
 {
     BalancerFixture fixture;
     fixture.announce(1, 1);
@@ -286,7 +286,7 @@
     CHECK(fixture.take<FeedItem>()->sequence == 3);
 }
 
-TEST_CASE("a packet of a flow whose owner is gone is adopted; its request is unknown and not run")
+TEST_CASE("a flow whose owner is gone is adopted; its request is not run, and its outcome is unknown")
 {
     BalancerFixture other(2);
     const FlowOpened flow = other.open();
@@ -303,7 +303,7 @@
     CHECK(fixture.take<RunRequest>());
 }
 
-TEST_CASE("a stopping balancer hands its flows on and runs nothing on them afterwards")
+TEST_CASE("a stopping balancer hands its flows over and runs no request of them afterwards")
 {
     BalancerFixture fixture;
     fixture.announce(1, 1);
@@ -340,7 +340,7 @@
     CHECK(successor.take<RunRequest>());
 }
 
-TEST_CASE("a restarted target, whose sequence begins anew, is renewed by gossip like the others")
+TEST_CASE("gossip renews a restarted target although its sequence starts again at a lower number")
 {
     BalancerFixture fixture;
     Heartbeat heartbeat;
@@ -369,7 +369,7 @@
     CHECK(renewedSequence(2, 2) == 2);
 }
 
-TEST_CASE("an offload runs at most once, and only at the run that it names")
+TEST_CASE("an offload runs at most once, and only at the incarnation that it names")
 {
     BalancerFixture fixture;
     fixture.announce(1, 1);
--- a/tests/test_connection_id.cpp
+++ b/tests/test_connection_id.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Connection ids: round trip, key rotation, and forged, replayed and mixed-up ids by the million.
+// Connection ids: round trip, key rotation, and rejection of changed, revoked and foreign ids.
 #include "balancer_core.h"
 
 #include <doctest/doctest.h>
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Membership: targets by announcement alone, peers by heartbeat, and the dealing of slots.
+// Membership: targets by announcements, peers by heartbeats, and the assignment of slots.
 #include "peer_table.h"
 #include "slot_policy.h"
 #include "target_choice.h"
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("a target lives by its lease, and old news can't revive it")
+TEST_CASE("a target is lost when its lease expires, and stale announcements can't revive it")
 {
     TargetTable table;
     CHECK(table.announce(Start, announcementOf(1, 1, 5)) == AnnouncementEffect::Joined);
@@ -55,7 +55,7 @@
     CHECK(table.announce(Start + TargetLease + seconds(1), announcementOf(1, 1, 8)) == AnnouncementEffect::Joined);
 }
 
-TEST_CASE("gossip hands on the age of news and so prolongs no lease")
+TEST_CASE("a gossiped renewal extends the lease only from the time when the target was heard")
 {
     TargetTable table;
     table.announce(Start, announcementOf(1, 1, 1));
@@ -96,7 +96,7 @@
     CHECK(table.announce(Start, announcementOf(1, 2, 1)) == AnnouncementEffect::Joined);
 }
 
-TEST_CASE("a cold target grows to its slots, and a late joiner learns that it is warm")
+TEST_CASE("usable slots grow during slow start, and a balancer that joins late learns when it is over")
 {
     TargetTable table;
     table.announce(Start, announcementOf(1, 1, 1));
@@ -108,7 +108,7 @@
     CHECK(usableSlots(target, Start) == 3);
 }
 
-TEST_CASE("refusals pause a target for longer and longer, and silence leaves it one attempt")
+TEST_CASE("consecutive refusals lengthen the back-off of a target, and an unresponsive one gets one attempt at a time")
 {
     TargetTable table;
     table.announce(Start, announcementOf(1, 1, 1));
@@ -128,7 +128,7 @@
     CHECK(acceptsAttempt(target, Start + seconds(1)));
 }
 
-TEST_CASE("peers are alive, suspected, back, and replaced by a new run")
+TEST_CASE("peers are alive, suspected, recovered, and replaced by a new incarnation")
 {
     const PeerAddress addresses[] = {{BalancerId{1}, {}}, {BalancerId{2}, {}}, {BalancerId{3}, {}}};
     PeerTable peers({BalancerId{1}, Incarnation{1}}, DataCentreId{1}, addresses);
@@ -147,7 +147,7 @@
     CHECK(peers.heartbeat(Start + PeerTimeout, heartbeatOf(2, 4, 9)) == HeartbeatEffect::Stale);
 }
 
-TEST_CASE("redirects are followed from stopped owner to stopped owner, and end in a loop")
+TEST_CASE("redirects are followed over several stopped owners, and a loop of them resolves to no owner")
 {
     const PeerAddress addresses[] = {{BalancerId{1}, {}}, {BalancerId{2}, {}}, {BalancerId{3}, {}}};
     PeerTable peers({BalancerId{1}, Incarnation{1}}, DataCentreId{1}, addresses);
@@ -164,7 +164,7 @@
     CHECK_FALSE(peers.resolve(other));
 }
 
-TEST_CASE("equal views deal every slot to exactly one balancer, evenly")
+TEST_CASE("with equal views, every slot is assigned to exactly one balancer, evenly")
 {
     std::map<std::uint32_t, int> assigned;
     std::map<int, std::vector<int>> ownByDataCentre;
@@ -198,7 +198,7 @@
     }
 }
 
-TEST_CASE("feeds spread within the bound, and few move when a target leaves")
+TEST_CASE("feeds are spread within the load bound, and none is bound to a draining target")
 {
     TargetTable table;
     for (std::uint32_t id = 1; id <= 14; ++id) {
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Small parts: request window, answer assembly, fair queue, retry budget, settled answers, replay window.
+// Small components: request window, answer assembly, fair queue, retry budget, answer cache, datagram guard, metrics, log output.
 #include "answer_assembly.h"
 #include "datagram_guard.h"
 #include "fair_queue.h"
@@ -20,7 +20,7 @@
 
 using namespace Robinrail;
 
-TEST_CASE("a request window takes every id at most once, whatever the order")
+TEST_CASE("a request window accepts every id at most once, in any order")
 {
     pcg64 random(3);
     RequestWindow window;
@@ -36,7 +36,7 @@
     CHECK(window.lookUp(RequestId{window.highest() - 64}) == RequestAge::BelowWindow);
 }
 
-TEST_CASE("a request window survives being handed over")
+TEST_CASE("a request window keeps its state over a handover")
 {
     RequestWindow window;
     window.record(RequestId{5});
@@ -60,7 +60,7 @@
     CHECK(AnswerAssembly().add(0, MaxAnswerParts + 1, {}) == PartEffect::Ignored);
 }
 
-TEST_CASE("callers take turns, and under overload the longest line loses its newest request")
+TEST_CASE("callers are served round robin, and overload evicts the newest request of the longest queue")
 {
     FairQueue<int> queue;
     for (int i = 0; i < 5; ++i) {
@@ -77,7 +77,7 @@
     CHECK(queue.size() == 2);
 }
 
-TEST_CASE("retries stay below their share of the requests")
+TEST_CASE("retries stay within the budgeted fraction of the requests")
 {
     RetryBudget budget(0.1, 5);
     int retries = 0;
@@ -89,7 +89,7 @@
     CHECK(retries >= 95);
 }
 
-TEST_CASE("settled answers are given again for a while")
+TEST_CASE("final answers are cached until they expire")
 {
     AnswerCache cache;
     const TimePoint start{std::chrono::seconds(100)};
@@ -102,7 +102,7 @@
     CHECK(cache.find(key).empty());
 }
 
-TEST_CASE("datagrams are taken once, from those who hold the key, and not from an older run")
+TEST_CASE("datagrams are accepted once, only with the cluster key, and not from an older incarnation")
 {
     const ClusterKey key{1};
     DatagramGuard old(key, {BalancerId{1}, Incarnation{1}});
@@ -123,7 +123,7 @@
     CHECK_FALSE(receiver.open(Bytes(5)));
 }
 
-TEST_CASE("a replay window accepts each number once within its reach")
+TEST_CASE("a replay window accepts each number at most once")
 {
     pcg64 random(5);
     ReplayWindow window;
@@ -138,7 +138,7 @@
     CHECK_FALSE(window.take(1));
 }
 
-TEST_CASE("a latency histogram knows its quantiles")
+TEST_CASE("a latency histogram estimates quantiles")
 {
     LatencyHistogram histogram;
     CHECK(histogram.quantile(0.5) == Duration(0));
@@ -150,7 +150,7 @@
     CHECK(histogram.count() == 1000);
 }
 
-TEST_CASE("a log that nobody reads drops lines and never blocks")
+TEST_CASE("a log without a reader drops lines and never blocks")
 {
     int ends[2] = {};
     REQUIRE(::pipe(ends) == 0);
--- a/tests/test_proofs.cpp
+++ b/tests/test_proofs.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Proofs: the brief's promises under faults, in virtual time, for both deployments and several seeds.
+// Simulation: invariants of the balancers under faults, in virtual time, for both deployments and several seeds.
 #include "simulation.h"
 
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
     return options;
 }
 
-// What must be 0 whatever happens.
+// Invariants that hold under any fault.
 void checkInvariants(const SimulationResult &result)
 {
     CHECK(result.runTwice == 0);
@@ -64,7 +64,7 @@
     });
 }
 
-TEST_CASE("a tenth of the packets lost, doubled and late: answers are whole or refused once")
+TEST_CASE("a tenth of the packets lost, duplicated and delayed: requests are answered completely or refused once")
 {
     runForSeeds(loseDoubleAndDelay, [](const SimulationResult &result) {
         CHECK(result.brokenFlows == 0);
@@ -84,7 +84,7 @@
         });
 }
 
-TEST_CASE("a balancer that freezes and returns does no harm")
+TEST_CASE("a balancer that freezes and returns breaks no flow")
 {
     runForSeeds(
         [](SimulationOptions &options) {
@@ -95,7 +95,7 @@
         });
 }
 
-TEST_CASE("a data centre cut off and joined again: two views of the membership run nothing twice")
+TEST_CASE("a data centre partitioned and reconnected: two views of the membership run no request twice")
 {
     runForSeeds(
         [](SimulationOptions &options) {
@@ -117,12 +117,12 @@
         });
 }
 
-TEST_CASE("all of it together")
+TEST_CASE("all faults together keep the invariants")
 {
     runForSeeds(bringAllTogether, [](const SimulationResult &) {});
 }
 
-TEST_CASE("a balancer that joins under traffic routes as well as the others once it is ready")
+TEST_CASE("a balancer that joins under traffic has the same view of the targets as the others")
 {
     SimulationOptions options = optionsForSeed(1);
     options.faults = {{seconds(2), FaultKind::KillBalancer, 2}, {seconds(8), FaultKind::StartBalancer, 2}};
@@ -137,7 +137,7 @@
     }
 }
 
-TEST_CASE("without any fault no target is taken for lost and nothing ends as unknown")
+TEST_CASE("without faults no request ends with an unknown outcome")
 {
     runForSeeds(
         [](SimulationOptions &options) {
