--- a/src/balancer_core.cpp
+++ b/src/balancer_core.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Balancer core: packets of callers and targets, change and time. What peers say is in balancer_peers.cpp.
+// Balancer core: packets of callers and targets, settings and timers. Packets of peers are handled in balancer_peers.cpp.
 #include "balancer_core.h"
 
 #include "hash.h"
@@ -11,8 +11,8 @@
 
 namespace {
 
-// A balancer without any live peer is ready after this time; else once a peer told it what it knows.
-constexpr Duration AloneReadyTime = GoneAfter;
+// A balancer that hears no peer is ready after this delay; otherwise it is ready after the first heartbeat of a peer.
+constexpr Duration NoPeerReadyDelay = PeerTimeout;
 
 } // namespace
 
@@ -71,8 +71,8 @@
     }
 }
 
-// Whoever gets the opening packet owns the flow: the fabric's spraying spreads ownership evenly without
-// a message. A duplicate opens a second flow elsewhere, which the caller never uses and which expires.
+// The balancer that receives the opening packet owns the flow. The fabric sprays packets evenly, so ownership is balanced
+// without coordination. A duplicated packet opens a second flow elsewhere, which the caller never uses and which expires.
 template<SlotPolicy Policy>
 void BalancerCore<Policy>::open(TimePoint now, const CallerPacket &packet, const OpenFlow &message)
 {
@@ -87,7 +87,7 @@
         return;
     }
     ++m_context.counters.flowsOpened;
-    m_context.send(packet.caller, FlowOpened{message.nonce, id, m_context.sealFor(id, *flow)});
+    m_context.send(packet.caller, FlowOpened{message.nonce, id, m_context.sealConnectionId(id, *flow)});
     m_context.observe({.kind = EventKind::FlowOpened, .at = now, .service = packet.service, .flow = id});
 }
 
@@ -106,7 +106,7 @@
 }
 
 template<SlotPolicy Policy>
-std::optional<ConnectionId> BalancerCore<Policy>::openId(TimePoint now, ServiceId service, const SealedConnectionId &sealed)
+std::optional<ConnectionId> BalancerCore<Policy>::authenticateId(TimePoint now, ServiceId service, const SealedConnectionId &sealed)
 {
     const std::optional<ConnectionId> id = m_context.sealer.open(sealed);
     if (!id) {
@@ -134,12 +134,12 @@
 template<typename Typed>
 void BalancerCore<Policy>::onFlow(TimePoint now, const CallerPacket &packet, const Typed &message)
 {
-    const std::optional<ConnectionId> id = openId(now, packet.service, message.connectionId);
+    const std::optional<ConnectionId> id = authenticateId(now, packet.service, message.connectionId);
     if (!id) {
         return;
     }
-    if (const std::optional<BalancerKey> went = m_handover.destination(id->flow)) {
-        return onHandedOver(now, packet, *id, *went, message);
+    if (const std::optional<BalancerKey> destination = m_handover.destination(id->flow)) {
+        return onFlowHandedOver(now, packet, *id, *destination, message);
     }
     if (Flow *flow = m_context.flows.find(id->flow); flow != nullptr && flow->service == packet.service) {
         flow->lastActive = CoarseTime(now);
@@ -148,9 +148,9 @@
     }
     const std::optional<BalancerKey> owner = m_context.peers.resolve(id->owner);
     if (!owner || *owner == m_context.peers.self()) {
-        return onOwnerGone(now, packet, *id, message);
+        return onOwnerLost(now, packet, *id, message);
     }
-    if (onOwnerStopping(now, packet, *id, message)) {
+    if (adoptFromStoppingOwner(now, packet, *id, message)) {
         return;
     }
     relay(now, packet, *owner, message);
@@ -160,9 +160,9 @@
 void BalancerCore<Policy>::onOwnFlow(TimePoint now, const CallerPacket &packet, const ConnectionId &id, Flow &flow, const Request &request)
 {
     const auto previous = m_previousOwners.find(value(id.flow));
-    const bool received = previous != m_previousOwners.end() && packet.relay != previous->second.owner;
-    if (received && flow.window.look(request.request) != RequestAge::Fresh && !m_requests.isPending({id.flow, request.request})) {
-        // The previous owner may hold the answer; it stays a while for this.
+    const bool receivedByHandover = previous != m_previousOwners.end() && packet.relay != previous->second.owner;
+    if (receivedByHandover && flow.window.lookUp(request.request) != RequestAge::Fresh && !m_requests.isPending({id.flow, request.request})) {
+        // The previous owner may have the answer cached; it keeps running for HandoverGracePeriod to resend it.
         if (m_context.peers.find(previous->second.owner.id) != nullptr && !m_requests.resend({id.flow, request.request}, packet.caller)) {
             relay(now, packet, previous->second.owner, request);
         }
@@ -185,7 +185,7 @@
 {
     const std::optional<BalancerKey> other = m_context.peers.stopping() ? m_context.peers.chooseSuccessor() : std::nullopt;
     if (other) {
-        // The other one sees that this balancer stops, and adopts the flow.
+        // The other balancer knows that this one is stopping, and adopts the flow.
         return relay(now, packet, *other, poll);
     }
     if (id.owner != m_context.peers.self()) {
@@ -194,9 +194,10 @@
     m_feeds.poll(now, id.flow, flow, poll.acknowledged);
 }
 
-// The flow is fenced off here. Only what was settled before is still answered; the rest goes after the flow.
+// This balancer runs no request of a flow that it has handed over. It resends the cached answers of requests that were completed
+// before, and relays everything else to the new owner.
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::onHandedOver(TimePoint now, const CallerPacket &packet, const ConnectionId &id, BalancerKey to, const Message &message)
+void BalancerCore<Policy>::onFlowHandedOver(TimePoint now, const CallerPacket &packet, const ConnectionId &id, BalancerKey to, const Message &message)
 {
     const auto *request = std::get_if<Request>(&message);
     if (request != nullptr && m_requests.resend({id.flow, request->request}, packet.caller)) {
@@ -204,17 +205,17 @@
     }
     if (packet.relay == to) {
         if (request != nullptr) {
-            m_requests.refuseUncertain(id.flow, packet.caller, request->request, RefusalReason::ForgottenFlow);
+            m_requests.refuseOutcomeUnknown(id.flow, packet.caller, request->request, RefusalReason::ForgottenFlow);
         }
         return;
     }
     relay(now, packet, to, message);
 }
 
-// The owner named in the id is gone, or has forgotten the flow. The request may have run there, so it is
-// not run here and never called "not run"; a caller that may repeat it asks again under the new id.
+// The owner named in the connection id is gone, or no longer has the flow. The request may have run there, so it is neither run
+// here nor reported as not run; the caller of a repeatable request sends it again under the new connection id.
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::onOwnerGone(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message)
+void BalancerCore<Policy>::onOwnerLost(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message)
 {
     const std::optional<BalancerKey> other = m_context.peers.stopping() ? m_context.peers.chooseSuccessor() : std::nullopt;
     if (other) {
@@ -223,15 +224,15 @@
     const FlowId flowId = adopt(now, packet, id);
     Flow *flow = m_context.flows.find(flowId);
     if (const auto *request = std::get_if<Request>(&message)) {
-        m_requests.refuseUncertain(id.flow, packet.caller, request->request, RefusalReason::OwnerGone);
+        m_requests.refuseOutcomeUnknown(id.flow, packet.caller, request->request, RefusalReason::OwnerGone);
     } else if (const auto *poll = std::get_if<PollFeed>(&message); poll != nullptr && flow != nullptr) {
         m_feeds.poll(now, flowId, *flow, poll->acknowledged);
     }
 }
 
-// Moves a flow off an owner that stops. True if the packet needs no relaying to that owner any more.
+// Adopts a flow whose owner is stopping. Returns true if the packet need not be relayed to that owner.
 template<SlotPolicy Policy>
-bool BalancerCore<Policy>::onOwnerStopping(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message)
+bool BalancerCore<Policy>::adoptFromStoppingOwner(TimePoint now, const CallerPacket &packet, const ConnectionId &id, const Message &message)
 {
     const Peer *peer = m_context.peers.find(id.owner.id);
     if (m_context.peers.stopping() || peer == nullptr || !peer->stopping || peer->incarnation != id.owner.incarnation) {
@@ -270,7 +271,7 @@
 void BalancerCore<Policy>::sendMoved(const CallerPacket &packet, FlowId previous, FlowId id)
 {
     if (const Flow *flow = m_context.flows.find(id); flow != nullptr) {
-        m_context.send(packet.caller, FlowMoved{previous, id, m_context.sealFor(id, *flow)});
+        m_context.send(packet.caller, FlowMoved{previous, id, m_context.sealConnectionId(id, *flow)});
     }
 }
 
@@ -286,21 +287,21 @@
 void BalancerCore<Policy>::dispatchTarget(TimePoint now, Endpoint target, const RelayedPacket *relayed, const Message &message)
 {
     if (const auto *announcement = std::get_if<Announcement>(&message)) {
-        targetChanged(now, announcement->target, m_gossip.announce(now, *announcement));
+        onTargetChanged(now, announcement->target, m_gossip.announce(now, *announcement));
     } else if (const auto *part = std::get_if<RunPart>(&message)) {
-        if (ownAttempt(now, target, relayed, part->attempt, *part)) {
-            m_requests.takePart(now, *part);
+        if (acceptOrRelay(now, target, relayed, part->attempt, *part)) {
+            m_requests.handleRunPart(now, *part);
         }
     } else if (const auto *refused = std::get_if<RunRefused>(&message)) {
-        if (ownAttempt(now, target, relayed, refused->attempt, *refused)) {
-            m_requests.takeRefusal(now, *refused);
+        if (acceptOrRelay(now, target, relayed, refused->attempt, *refused)) {
+            m_requests.handleRunRefused(now, *refused);
         }
     } else if (const auto *push = std::get_if<FeedPush>(&message)) {
-        if (ownAttempt(now, target, relayed, push->attachment, *push)) {
+        if (acceptOrRelay(now, target, relayed, push->attachment, *push)) {
             m_feeds.push(now, target, *push);
         }
     } else if (const auto *attached = std::get_if<FeedAttached>(&message)) {
-        if (ownAttempt(now, target, relayed, attached->attachment, *attached)) {
+        if (acceptOrRelay(now, target, relayed, attached->attachment, *attached)) {
             m_feeds.attached(target, *attached);
         }
     } else {
@@ -308,10 +309,10 @@
     }
 }
 
-// Whether the attempt is of this run of this balancer; passes the packet on to its maker if not.
+// Whether this incarnation of this balancer started the attempt; if not, the packet is relayed to the balancer that did.
 template<SlotPolicy Policy>
 template<typename Typed>
-bool BalancerCore<Policy>::ownAttempt(TimePoint now, Endpoint target, const RelayedPacket *relayed, const AttemptKey &attempt, const Typed &message)
+bool BalancerCore<Policy>::acceptOrRelay(TimePoint now, Endpoint target, const RelayedPacket *relayed, const AttemptKey &attempt, const Typed &message)
 {
     if (attempt.owner == m_context.peers.self()) {
         return true;
@@ -320,7 +321,7 @@
     return false;
 }
 
-// A feed pushed to a run that is gone would go on for ever, so the target is told to stop.
+// A target would keep pushing a feed to an owner that is gone, so it is told to detach the feed.
 template<SlotPolicy Policy>
 void BalancerCore<Policy>::relayTarget(TimePoint now, Endpoint target, const RelayedPacket *relayed, BalancerKey owner, const Message &message)
 {
@@ -339,10 +340,10 @@
     m_context.send(peer->endpoint, RelayedPacket{m_context.peers.self(), ServiceId{}, target, hops, 0, encodeMessage(message)});
 }
 
-// ---- Change and time ----
+// ---- State changes and timers ----
 
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::targetChanged(TimePoint now, TargetId target, AnnouncementEffect effect)
+void BalancerCore<Policy>::onTargetChanged(TimePoint now, TargetId target, AnnouncementEffect effect)
 {
     if (effect == AnnouncementEffect::Drained) {
         m_feeds.rebindFrom(now, target);
@@ -355,13 +356,13 @@
 template<SlotPolicy Policy>
 void BalancerCore<Policy>::tick(TimePoint now)
 {
-    if (!m_startedKnown) {
+    if (!m_hasStarted) {
         m_started = now;
-        m_startedKnown = true;
+        m_hasStarted = true;
     }
     m_now = now;
     for (const BalancerKey &gone : m_context.peers.expire(now)) {
-        m_requests.peerGone(now, gone);
+        m_requests.onPeerLost(now, gone);
         m_context.observe({.kind = EventKind::PeerGone, .at = now, .peer = gone.id});
     }
     expireTargets(now);
@@ -392,7 +393,7 @@
             continue;
         }
         m_context.observe({.kind = EventKind::TargetLost, .at = now, .target = id});
-        m_requests.targetLost(now, id);
+        m_requests.onTargetLost(now, id);
         m_feeds.rebindFrom(now, id);
     }
 }
@@ -405,7 +406,7 @@
         if (flow.attachment != 0 && flow.lastActive.elapsed(now) >= FeedIdleTime) {
             m_feeds.detach(flow);
         }
-        if (flow.busy == 0 && flow.lastActive.elapsed(now) >= FlowIdleTime) {
+        if (flow.activeRequests == 0 && flow.lastActive.elapsed(now) >= FlowIdleTime) {
             expired.push_back(id);
         }
     });
@@ -436,7 +437,7 @@
 template<SlotPolicy Policy>
 bool BalancerCore<Policy>::ready() const
 {
-    const bool heard = m_sawPeer || (m_startedKnown && m_now - m_started >= AloneReadyTime);
+    const bool heard = m_heardPeer || (m_hasStarted && m_now - m_started >= NoPeerReadyDelay);
     return heard && m_context.bundleVersion > 0 && !m_context.peers.stopping();
 }
 
@@ -464,9 +465,9 @@
     return m_requests.queued(service);
 }
 
-template class BalancerCore<OwnCounts>;
-template class BalancerCore<DealtTargets>;
-template class BalancerCore<DealtSlotsAlone>;
-template class BalancerCore<DealtSlots>;
+template class BalancerCore<OptimisticSlots>;
+template class BalancerCore<PartitionedTargets>;
+template class BalancerCore<PartitionedSlotsNoOffload>;
+template class BalancerCore<PartitionedSlots>;
 
 } // namespace Robinrail
--- a/src/balancer_peers.cpp
+++ b/src/balancer_peers.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Balancer core: what balancers say to each other.
+// Balancer core: packets exchanged between balancers.
 #include "balancer_core.h"
 
 #include <optional>
@@ -11,21 +11,21 @@
 void BalancerCore<Policy>::handlePeer(TimePoint now, Endpoint peer, const Message &message)
 {
     if (const auto *heartbeat = std::get_if<Heartbeat>(&message)) {
-        takeHeartbeat(now, *heartbeat);
+        handleHeartbeat(now, *heartbeat);
     } else if (const auto *relayed = std::get_if<RelayedPacket>(&message)) {
-        takeRelayed(now, *relayed);
+        handleRelayed(now, *relayed);
     } else if (const auto *offload = std::get_if<OffloadRequest>(&message)) {
-        m_requests.takeOffload(now, peer, *offload);
+        m_requests.handleOffload(now, peer, *offload);
     } else if (const auto *part = std::get_if<RunPart>(&message)) {
-        m_requests.takePart(now, *part);
+        m_requests.handleRunPart(now, *part);
     } else if (const auto *refused = std::get_if<RunRefused>(&message)) {
-        m_requests.takeRefusal(now, *refused);
+        m_requests.handleRunRefused(now, *refused);
     } else if (const auto *cancel = std::get_if<CancelRun>(&message)) {
         m_requests.cancelHosted(*cancel);
     } else if (const auto *handover = std::get_if<HandoverFlows>(&message)) {
-        takeHandover(now, peer, *handover);
+        handleHandover(now, peer, *handover);
     } else if (const auto *received = std::get_if<HandoverReceived>(&message)) {
-        m_handover.received(*received);
+        m_handover.confirm(*received);
     } else {
         m_context.reject(now, RejectReason::UnexpectedType);
     }
@@ -47,15 +47,15 @@
     relayed.service = packet.service;
     relayed.caller = packet.caller;
     relayed.hops = static_cast<std::uint8_t>(packet.hops + 1);
-    relayed.freeSlots = m_requests.spareSlots(packet.service, now);
+    relayed.freeSlots = m_requests.offloadableSlots(packet.service, now);
     relayed.packet = encodeMessage(message);
     m_context.send(peer->endpoint, std::move(relayed));
 }
 
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::takeRelayed(TimePoint now, const RelayedPacket &relayed)
+void BalancerCore<Policy>::handleRelayed(TimePoint now, const RelayedPacket &relayed)
 {
-    m_context.peers.noteAlive(now, relayed.relay);
+    m_context.peers.recordAlive(now, relayed.relay);
     const std::optional<Message> inner = decodeMessage<Message>(relayed.packet);
     if (!inner) {
         return m_context.reject(now, RejectReason::Malformed);
@@ -63,12 +63,12 @@
     if (value(relayed.service) == 0) {
         return dispatchTarget(now, relayed.caller, &relayed, *inner);
     }
-    m_requests.noteFreeSlots(now, relayed.relay.id, relayed.service, relayed.freeSlots);
+    m_requests.recordFreeSlots(now, relayed.relay.id, relayed.service, relayed.freeSlots);
     dispatchCaller(now, {relayed.service, relayed.caller, relayed.hops, relayed.relay}, *inner);
 }
 
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::takeHandover(TimePoint now, Endpoint peer, const HandoverFlows &handover)
+void BalancerCore<Policy>::handleHandover(TimePoint now, Endpoint peer, const HandoverFlows &handover)
 {
     if (handover.to != m_context.peers.self()) {
         return;
@@ -85,11 +85,11 @@
         flow.service = entry.service;
         Flow *inserted = m_context.flows.insert(entry.flow, flow);
         if (inserted == nullptr || m_handover.destination(entry.flow)) {
-            continue; // Sent again, or handed on already.
+            continue; // Retransmitted, or already handed over to another balancer.
         }
         ++m_context.counters.flowsReceived;
         m_previousOwners[value(entry.flow)] = {handover.from, now};
-        m_context.send(entry.caller, FlowMoved{entry.flow, entry.flow, m_context.sealFor(entry.flow, *inserted)});
+        m_context.send(entry.caller, FlowMoved{entry.flow, entry.flow, m_context.sealConnectionId(entry.flow, *inserted)});
         if (entry.hasFeed) {
             m_feeds.resume(now, entry.flow, *inserted);
         }
@@ -99,27 +99,27 @@
 }
 
 template<SlotPolicy Policy>
-void BalancerCore<Policy>::takeHeartbeat(TimePoint now, const Heartbeat &heartbeat)
+void BalancerCore<Policy>::handleHeartbeat(TimePoint now, const Heartbeat &heartbeat)
 {
-    const Gossip::Reception reception = m_gossip.receive(now, heartbeat);
-    m_sawPeer = true;
-    if (reception.effect == HeartbeatEffect::Joined) {
+    const Gossip::HeartbeatResult result = m_gossip.receive(now, heartbeat);
+    m_heardPeer = true;
+    if (result.effect == HeartbeatEffect::Joined) {
         m_context.observe({.kind = EventKind::PeerJoined, .at = now, .peer = heartbeat.sender.id});
     }
-    if (reception.effect == HeartbeatEffect::Stopping) {
+    if (result.effect == HeartbeatEffect::Stopping) {
         m_context.observe({.kind = EventKind::PeerStopping, .at = now, .peer = heartbeat.sender.id});
     }
-    for (const TargetId target : reception.joined) {
-        targetChanged(now, target, AnnouncementEffect::Joined);
+    for (const TargetId target : result.joined) {
+        onTargetChanged(now, target, AnnouncementEffect::Joined);
     }
-    for (const TargetId target : reception.drained) {
-        targetChanged(now, target, AnnouncementEffect::Drained);
+    for (const TargetId target : result.drained) {
+        onTargetChanged(now, target, AnnouncementEffect::Drained);
     }
 }
 
-template class BalancerCore<OwnCounts>;
-template class BalancerCore<DealtTargets>;
-template class BalancerCore<DealtSlotsAlone>;
-template class BalancerCore<DealtSlots>;
+template class BalancerCore<OptimisticSlots>;
+template class BalancerCore<PartitionedTargets>;
+template class BalancerCore<PartitionedSlotsNoOffload>;
+template class BalancerCore<PartitionedSlots>;
 
 } // namespace Robinrail
--- a/src/caller_session.cpp
+++ b/src/caller_session.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Caller session: implementation.
+// Caller session: retransmission, repeats and feed polling.
 #include "caller_session.h"
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 
 namespace {
 
-// Flow ids that a session remembers; answers of older ones are not accepted any more.
+// Number of flow ids that a session keeps; answers for older ids are ignored.
 constexpr std::size_t MaxKnownFlows = 8;
 
-// A request is not asked again sooner than this.
+// Minimum delay before a request is repeated.
 constexpr Duration MinRepeatPause = std::chrono::milliseconds(20);
 
 } // namespace
@@ -33,7 +33,7 @@
         }
         return;
     }
-    sendAgain(now);
+    sendDueRepeats(now);
     std::vector<RequestId> overdue;
     for (auto &[id, pending] : m_pending) {
         if (now - pending.sentLast >= RequestRetryInterval) {
@@ -77,11 +77,11 @@
             }
         }
     } else if (const auto *part = std::get_if<AnswerPart>(&message)) {
-        takePart(now, *part);
+        handleAnswerPart(now, *part);
     } else if (const auto *refusal = std::get_if<Refusal>(&message)) {
-        takeRefusal(now, *refusal);
+        handleRefusal(now, *refusal);
     } else if (const auto *item = std::get_if<FeedItem>(&message)) {
-        takeItem(now, *item);
+        handleItem(now, *item);
     }
 }
 
@@ -107,10 +107,10 @@
     }
 }
 
-void CallerSession::takePart(TimePoint now, const AnswerPart &part)
+void CallerSession::handleAnswerPart(TimePoint now, const AnswerPart &part)
 {
     const auto at = m_pending.find(part.request);
-    if (at == m_pending.end() || !knows(part.flow)) {
+    if (at == m_pending.end() || !isKnownFlow(part.flow)) {
         return;
     }
     AnswerAssembly &assembly = at->second.attempts[part.attempt];
@@ -123,9 +123,9 @@
     finish(now, part.request, std::move(result));
 }
 
-void CallerSession::takeRefusal(TimePoint now, const Refusal &refusal)
+void CallerSession::handleRefusal(TimePoint now, const Refusal &refusal)
 {
-    if (!m_pending.contains(refusal.request) || !knows(refusal.flow)) {
+    if (!m_pending.contains(refusal.request) || !isKnownFlow(refusal.flow)) {
         return;
     }
     const auto at = m_pending.find(refusal.request);
@@ -146,8 +146,9 @@
     return pending.message.repeatable && refusal.outcome == Outcome::OutcomeUnknown && now + pause < pending.deadline;
 }
 
-// By then the new connection id has usually come, as it is sent before the refusal.
-void CallerSession::sendAgain(TimePoint now)
+// Sends repeats under the current connection id. If the flow has moved, its new id has usually arrived by then, as the balancer
+// sends it before the refusal.
+void CallerSession::sendDueRepeats(TimePoint now)
 {
     std::vector<Repeat> due;
     std::erase_if(m_repeats, [&](Repeat &repeat) {
@@ -171,10 +172,10 @@
     }
 }
 
-void CallerSession::takeItem(TimePoint now, const FeedItem &item)
+void CallerSession::handleItem(TimePoint now, const FeedItem &item)
 {
-    if (!knows(item.flow) || item.sequence != m_acknowledged + 1) {
-        return; // A repeat, or behind a gap that the next poll closes.
+    if (!isKnownFlow(item.flow) || item.sequence != m_acknowledged + 1) {
+        return; // A duplicate, or after a gap that the next poll fills.
     }
     ++m_acknowledged;
     m_lastItemAt = now;
@@ -193,7 +194,7 @@
     m_results.push_back(std::move(result));
 }
 
-bool CallerSession::knows(FlowId flow) const
+bool CallerSession::isKnownFlow(FlowId flow) const
 {
     return std::find(m_flows.begin(), m_flows.end(), flow) != m_flows.end();
 }
--- a/src/peer_table.cpp
+++ b/src/peer_table.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Peer table: heartbeats, incarnations, suspicion and redirects.
+// Peer table: heartbeats, incarnations, failure detection and redirects.
 #include "peer_table.h"
 
 #include "hash.h"
@@ -32,12 +32,12 @@
     if (peer == nullptr || heartbeat.sender.incarnation < peer->incarnation) {
         return HeartbeatEffect::Stale;
     }
-    const bool sameRun = heartbeat.sender.incarnation == peer->incarnation;
-    if (sameRun && heartbeat.counter <= peer->counter) {
+    const bool sameIncarnation = heartbeat.sender.incarnation == peer->incarnation;
+    if (sameIncarnation && heartbeat.counter <= peer->counter) {
         return HeartbeatEffect::Stale;
     }
-    const bool joined = !sameRun || !peer->alive;
-    const bool stops = heartbeat.stopping && (!peer->stopping || !sameRun);
+    const bool joined = !sameIncarnation || !peer->alive;
+    const bool startsStopping = heartbeat.stopping && (!peer->stopping || !sameIncarnation);
     peer->incarnation = heartbeat.sender.incarnation;
     peer->dataCentre = heartbeat.dataCentre;
     peer->counter = heartbeat.counter;
@@ -48,14 +48,14 @@
     if (heartbeat.successor) {
         redirect(heartbeat.sender, *heartbeat.successor);
     }
-    m_version += joined || stops ? 1 : 0;
-    if (stops) {
+    m_version += joined || startsStopping ? 1 : 0;
+    if (startsStopping) {
         return HeartbeatEffect::Stopping;
     }
     return joined ? HeartbeatEffect::Joined : HeartbeatEffect::Alive;
 }
 
-void PeerTable::noteAlive(TimePoint now, BalancerKey key)
+void PeerTable::recordAlive(TimePoint now, BalancerKey key)
 {
     Peer *peer = find(key.id);
     if (peer != nullptr && peer->incarnation == key.incarnation && peer->alive) {
@@ -67,7 +67,7 @@
 {
     std::vector<BalancerKey> gone;
     for (Peer &peer : m_peers) {
-        if (peer.alive && now - peer.lastHeard >= GoneAfter) {
+        if (peer.alive && now - peer.lastHeard >= PeerTimeout) {
             peer.alive = false;
             peer.freeSlots.clear();
             gone.push_back(peer.key());
--- a/src/target_table.cpp
+++ b/src/target_table.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-auto orderOf(const Announcement &announcement)
+auto versionOf(const Announcement &announcement)
 {
     return std::pair(announcement.incarnation, announcement.sequence);
 }
 
-auto placeOf(const Announcement &announcement)
+auto sortKeyOf(const Announcement &announcement)
 {
     return std::pair(announcement.service, announcement.target);
 }
@@ -22,7 +22,7 @@
 auto lowerBound(auto &targets, ServiceId service, TargetId id)
 {
     return std::lower_bound(targets.begin(), targets.end(), std::pair(service, id), [](const Target &target, const auto &wanted) {
-        return placeOf(target.announcement) < wanted;
+        return sortKeyOf(target.announcement) < wanted;
     });
 }
 
@@ -47,11 +47,11 @@
         return AnnouncementEffect::Stale;
     }
     if (known != nullptr && known->announcement.incarnation == announcement.incarnation) {
-        // A balancer that joined late learns here that the target is warm already.
+        // A balancer that joined later learns that the target has already finished its slow start.
         known->firstHeard = std::min(known->firstHeard, now - knownFor);
     }
-    if (known != nullptr && orderOf(announcement) <= orderOf(known->announcement)) {
-        // Draining is taken at any sequence of the incarnation: an operator may have asked for it at a peer.
+    if (known != nullptr && versionOf(announcement) <= versionOf(known->announcement)) {
+        // Draining is accepted at any sequence of the incarnation: an operator may have requested it at a peer.
         const bool drains = announcement.draining && !known->announcement.draining && known->state == TargetState::Serving;
         if (!drains || announcement.incarnation != known->announcement.incarnation) {
             return AnnouncementEffect::Stale;
@@ -61,15 +61,15 @@
         ++m_version;
         return AnnouncementEffect::Drained;
     }
-    const bool sameRun = known != nullptr && known->announcement.incarnation == announcement.incarnation;
+    const bool sameIncarnation = known != nullptr && known->announcement.incarnation == announcement.incarnation;
     Target &target = known != nullptr ? *known : insert(announcement);
-    const bool wasDraining = sameRun && target.announcement.draining;
+    const bool wasDraining = sameIncarnation && target.announcement.draining;
     const TargetState before = target.state;
-    if (!sameRun) {
+    if (!sameIncarnation) {
         target.firstHeard = now - knownFor;
-        target.pausedUntil = now;
-        target.refusalPause = RefusalPause;
-        target.silentAttempts = 0;
+        target.backoffUntil = now;
+        target.refusalBackoff = RefusalBackoff;
+        target.unansweredAttempts = 0;
     }
     target.announcement = announcement;
     target.announcement.draining = announcement.draining || wasDraining;
@@ -80,7 +80,7 @@
         m_version += news ? 1 : 0;
         return news ? AnnouncementEffect::Drained : AnnouncementEffect::Renewed;
     }
-    const bool joined = !sameRun || before != TargetState::Serving;
+    const bool joined = !sameIncarnation || before != TargetState::Serving;
     m_version += joined ? 1 : 0;
     return joined ? AnnouncementEffect::Joined : AnnouncementEffect::Renewed;
 }
@@ -163,10 +163,10 @@
 
 Target &TargetTable::insert(const Announcement &announcement)
 {
-    Target fresh;
-    fresh.announcement = announcement;
+    Target target;
+    target.announcement = announcement;
     m_services[announcement.target] = announcement.service;
-    return *m_targets.insert(lowerBound(m_targets, announcement.service, announcement.target), fresh);
+    return *m_targets.insert(lowerBound(m_targets, announcement.service, announcement.target), target);
 }
 
 std::uint16_t incarnationBits(Incarnation incarnation)
@@ -187,27 +187,27 @@
     return std::max<std::uint16_t>(1, grown);
 }
 
-bool acceptsWork(const Target &target, TimePoint now)
+bool acceptsAttempt(const Target &target, TimePoint now)
 {
-    const bool probing = target.silentAttempts >= SilentAttemptLimit && target.running > 0;
-    return target.state == TargetState::Serving && now >= target.pausedUntil && !probing;
+    const bool probing = target.unansweredAttempts >= UnansweredAttemptLimit && target.running > 0;
+    return target.state == TargetState::Serving && now >= target.backoffUntil && !probing;
 }
 
-void noteRefusal(Target &target, TimePoint now)
+void recordRefusal(Target &target, TimePoint now)
 {
-    target.pausedUntil = now + target.refusalPause;
-    target.refusalPause = std::min(target.refusalPause * 2, MaxRefusalPause);
+    target.backoffUntil = now + target.refusalBackoff;
+    target.refusalBackoff = std::min(target.refusalBackoff * 2, MaxRefusalBackoff);
 }
 
-void noteAnswer(Target &target)
+void recordAnswer(Target &target)
 {
-    target.silentAttempts = 0;
-    target.refusalPause = RefusalPause;
+    target.unansweredAttempts = 0;
+    target.refusalBackoff = RefusalBackoff;
 }
 
-void noteSilence(Target &target)
+void recordNoAnswer(Target &target)
 {
-    ++target.silentAttempts;
+    ++target.unansweredAttempts;
 }
 
 } // namespace Robinrail
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -37,15 +37,15 @@
 }
 
 mutate "no request window" src/request_engine.cpp \
-    'if (flow->window.take(request.request) != RequestAge::Fresh) {' \
-    'if (flow->window.take(request.request) != RequestAge::Fresh && (isPending(key) || !m_settled.find(key).empty())) {' \
+    'if (flow->window.record(request.request) != RequestAge::Fresh) {' \
+    'if (flow->window.record(request.request) != RequestAge::Fresh && (isPending(key) || !m_answerCache.find(key).empty())) {' \
     '*repeated packet*,*tenth of the packets*'
 mutate "no check of the service in the id" src/balancer_core.cpp 'if (id->service != service) {' 'if (id->service != service && value(service) == 0) {' \
     '*never reaches another*'
 mutate "no check of the MAC" src/connection_id.cpp \
     'if (sodium_memcmp(mac.data(), sealed.data() + ConnectionIdContentSize, mac.size()) != 0) {' 'if (mac.empty()) {' '*1.2 million*'
 mutate "adopters run requests of the old id" src/balancer_core.cpp \
-    'm_requests.refuseUncertain(id.flow, packet.caller, request->request, RefusalReason::OwnerGone);' \
+    'm_requests.refuseOutcomeUnknown(id.flow, packet.caller, request->request, RefusalReason::OwnerGone);' \
     'm_requests.accept(now, flowId, packet.caller, *request);' '*two views*,*owner is gone*'
 mutate "drain of a target ignored" src/target_table.cpp \
     'target.announcement.draining = announcement.draining || wasDraining;' 'target.announcement.draining = wasDraining;' \
@@ -54,8 +54,8 @@
     'if (flow.target == target || flow.attachment == 0) {' '*every target is replaced*,*goes on at another target*'
 mutate "no moving forward of feeds" src/feed_engine.cpp 'if (acknowledged >= flow.nextSequence) {' \
     'if (acknowledged > flow.nextSequence + 1000000) {' '*every balancer is stopped*,*freezes and returns*'
-mutate "no adoption from a stopping owner" src/balancer_core.cpp 'if (onOwnerStopping(now, packet, *id, message)) {' \
-    'if (false && onOwnerStopping(now, packet, *id, message)) {' '*every balancer is stopped*'
+mutate "no adoption from a stopping owner" src/balancer_core.cpp 'if (adoptFromStoppingOwner(now, packet, *id, message)) {' \
+    'if (false && adoptFromStoppingOwner(now, packet, *id, message)) {' '*every balancer is stopped*'
 mutate "no fence at the handover" src/handover.cpp \
     'return sent != m_sent.end() ? std::optional(sent->second.to) : std::nullopt;' \
     'return sent == m_sent.end() ? std::optional(BalancerKey{}) : std::nullopt;' '*stopping balancer hands*'
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Small parts: request window, answer assembly, fair queue, retry budget, settled answers, replay window.
+// Small components: request window, answer assembly, fair queue, retry budget, answer cache, datagram guard, metrics, log output.
 #include "answer_assembly.h"
 #include "datagram_guard.h"
 #include "fair_queue.h"
@@ -20,47 +20,47 @@
 
 using namespace Robinrail;
 
-TEST_CASE("a request window takes every id at most once, whatever the order")
+TEST_CASE("a request window accepts every id at most once, in any order")
 {
     pcg64 random(3);
     RequestWindow window;
     std::set<std::uint32_t> taken;
     for (int i = 0; i < 100'000; ++i) {
         const auto id = static_cast<std::uint32_t>(1 + i / 3 + random() % 100);
-        if (window.take(RequestId{id}) == RequestAge::Fresh) {
+        if (window.record(RequestId{id}) == RequestAge::Fresh) {
             CHECK(taken.insert(id).second);
         }
     }
     CHECK(taken.size() > 20'000);
-    CHECK(window.look(RequestId{window.highest()}) == RequestAge::Seen);
-    CHECK(window.look(RequestId{window.highest() - 64}) == RequestAge::BelowWindow);
+    CHECK(window.lookUp(RequestId{window.highest()}) == RequestAge::Seen);
+    CHECK(window.lookUp(RequestId{window.highest() - 64}) == RequestAge::BelowWindow);
 }
 
-TEST_CASE("a request window survives being handed over")
+TEST_CASE("a request window keeps its state over a handover")
 {
     RequestWindow window;
-    window.take(RequestId{5});
-    window.take(RequestId{3});
+    window.record(RequestId{5});
+    window.record(RequestId{3});
     RequestWindow copy(window.highest(), window.bits());
-    CHECK(copy.take(RequestId{3}) == RequestAge::Seen);
-    CHECK(copy.take(RequestId{4}) == RequestAge::Fresh);
+    CHECK(copy.record(RequestId{3}) == RequestAge::Seen);
+    CHECK(copy.record(RequestId{4}) == RequestAge::Fresh);
 }
 
 TEST_CASE("an answer is complete only with all parts, in any order, each once")
 {
     AnswerAssembly assembly;
-    CHECK(assembly.add(2, 3, {2}) == PartEffect::Taken);
+    CHECK(assembly.add(2, 3, {2}) == PartEffect::Accepted);
     CHECK(assembly.add(2, 3, {9}) == PartEffect::Ignored);
     CHECK(assembly.add(0, 4, {9}) == PartEffect::Ignored);
     CHECK(assembly.add(3, 3, {9}) == PartEffect::Ignored);
-    CHECK(assembly.add(0, 3, {0}) == PartEffect::Taken);
+    CHECK(assembly.add(0, 3, {0}) == PartEffect::Accepted);
     CHECK(assembly.add(1, 3, {1}) == PartEffect::Completed);
     CHECK(assembly.parts() == std::vector<Bytes>{{0}, {1}, {2}});
     CHECK(AnswerAssembly().add(0, 0, {}) == PartEffect::Ignored);
     CHECK(AnswerAssembly().add(0, MaxAnswerParts + 1, {}) == PartEffect::Ignored);
 }
 
-TEST_CASE("callers take turns, and under overload the longest line loses its newest request")
+TEST_CASE("callers are served round robin, and overload evicts the newest request of the longest queue")
 {
     FairQueue<int> queue;
     for (int i = 0; i < 5; ++i) {
@@ -71,38 +71,38 @@
     CHECK_FALSE(queue.evictFor(1));
     CHECK(queue.pop() == 0);
     CHECK(queue.pop() == 100);
-    queue.putBack(2, 100);
+    queue.pushFront(2, 100);
     CHECK(queue.pop() == 100);
     CHECK(queue.pop() == 1);
     CHECK(queue.size() == 2);
 }
 
-TEST_CASE("retries stay below their share of the requests")
+TEST_CASE("retries stay within the budgeted fraction of the requests")
 {
     RetryBudget budget(0.1, 5);
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
-        budget.noteRequest();
-        retries += budget.take() ? 1 : 0;
+        budget.recordRequest();
+        retries += budget.tryConsume() ? 1 : 0;
     }
     CHECK(retries <= 105);
     CHECK(retries >= 95);
 }
 
-TEST_CASE("settled answers are given again for a while")
+TEST_CASE("final answers are cached until they expire")
 {
-    SettledAnswers settled;
+    AnswerCache cache;
     const TimePoint start{std::chrono::seconds(100)};
     const RequestKey key{FlowId{1}, RequestId{2}};
-    settled.remember(start, key, {Refusal{}});
-    CHECK(settled.find(key).size() == 1);
-    settled.expire(start + AnswerCacheTime - Duration(1));
-    CHECK(settled.size() == 1);
-    settled.expire(start + AnswerCacheTime);
-    CHECK(settled.find(key).empty());
+    cache.insert(start, key, {Refusal{}});
+    CHECK(cache.find(key).size() == 1);
+    cache.expire(start + AnswerCacheTime - Duration(1));
+    CHECK(cache.size() == 1);
+    cache.expire(start + AnswerCacheTime);
+    CHECK(cache.find(key).empty());
 }
 
-TEST_CASE("datagrams are taken once, from those who hold the key, and not from an older run")
+TEST_CASE("datagrams are accepted once, only with the cluster key, and not from an older incarnation")
 {
     const ClusterKey key{1};
     DatagramGuard old(key, {BalancerId{1}, Incarnation{1}});
@@ -123,7 +123,7 @@
     CHECK_FALSE(receiver.open(Bytes(5)));
 }
 
-TEST_CASE("a replay window accepts each number once within its reach")
+TEST_CASE("a replay window accepts each number at most once")
 {
     pcg64 random(5);
     ReplayWindow window;
@@ -138,7 +138,7 @@
     CHECK_FALSE(window.take(1));
 }
 
-TEST_CASE("a latency histogram knows its quantiles")
+TEST_CASE("a latency histogram estimates quantiles")
 {
     LatencyHistogram histogram;
     CHECK(histogram.quantile(0.5) == Duration(0));
@@ -150,7 +150,7 @@
     CHECK(histogram.count() == 1000);
 }
 
-TEST_CASE("a log that nobody reads drops lines and never blocks")
+TEST_CASE("a log without a reader drops lines and never blocks")
 {
     int ends[2] = {};
     REQUIRE(::pipe(ends) == 0);
