--- a/src/dial_schedule.h
+++ b/src/dial_schedule.h
@@ -14,18 +14,18 @@
 namespace Robinrail {
 
 // The pause between attempts at first. It is what a link is late, half of it on average, once the peer is there.
-inline constexpr Duration DialPause = std::chrono::milliseconds(50);
+inline constexpr Duration InitialDialInterval = std::chrono::milliseconds(50);
 
 // The pause grows by as much after every so many attempts, to 1 s at the most. The first half second, in which most
 // peers come back, has a pause of 50 ms throughout; an attempt takes about 40 us of processor time.
-inline constexpr int AttemptsPerPause = 10;
-inline constexpr Duration MaxDialPause = std::chrono::milliseconds(1000);
+inline constexpr int AttemptsPerDialInterval = 10;
+inline constexpr Duration MaxDialInterval = std::chrono::milliseconds(1000);
 
 // Attempts that a peer has answered and whose handshakes are under way at once.
-inline constexpr int MaxHandshakes = 2;
+inline constexpr int MaxConcurrentHandshakes = 2;
 
 // A handshake that said nothing of its end for this long is counted no more: twice the hub's time-out.
-inline constexpr Duration HandshakeMemory = std::chrono::milliseconds(4000);
+inline constexpr Duration HandshakeExpiry = std::chrono::milliseconds(4000);
 
 class DialSchedule
 {
@@ -33,16 +33,16 @@
     // Whether to begin an attempt now.
     bool due(TimePoint now) const
     {
-        return now >= m_due && (m_handshakes < MaxHandshakes || now - m_lastHandshake >= HandshakeMemory);
+        return now >= m_due && (m_handshakes < MaxConcurrentHandshakes || now - m_lastHandshake >= HandshakeExpiry);
     }
 
     void began(TimePoint now)
     {
-        if (now - m_lastHandshake >= HandshakeMemory) {
+        if (now - m_lastHandshake >= HandshakeExpiry) {
             m_handshakes = 0;
         }
         ++m_attempts;
-        m_due = now + std::min(DialPause * (1 + m_attempts / AttemptsPerPause), MaxDialPause);
+        m_due = now + std::min(InitialDialInterval * (1 + m_attempts / AttemptsPerDialInterval), MaxDialInterval);
     }
 
     // The peer's machine answered one of the attempts.
--- a/src/secure_links.cpp
+++ b/src/secure_links.cpp
@@ -145,7 +145,7 @@
 void SecureLinks::redial(std::uint64_t tag)
 {
     boost::asio::steady_timer &timer = *m_timers[tag - 1];
-    timer.expires_after(RedialPause);
+    timer.expires_after(RedialDelay);
     timer.async_wait([this, tag](const boost::system::error_code &error) {
         if (!error) {
             const Endpoint endpoint = m_maintained[tag - 1];
--- a/src/secure_links.h
+++ b/src/secure_links.h
@@ -16,7 +16,7 @@
 namespace Robinrail {
 
 // A link that broke or could not be made is dialled again after this time.
-inline constexpr std::chrono::milliseconds RedialPause{200};
+inline constexpr std::chrono::milliseconds RedialDelay{200};
 
 // Most links that are open at once.
 inline constexpr std::size_t MaxLinks = 1024;
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -103,9 +103,9 @@
     'return now < seen;' '*forgotten once its flows*'
 mutate "steering: messages of other clusters are taken" src/replica_driver.cpp \
     'if (cluster != 0 && envelope.cluster != cluster) {' 'if (cluster != 0 && envelope.cluster == 0) {' '*joins the first cluster*'
-mutate "links: any number of handshakes at once" src/dial_schedule.h 'm_handshakes < MaxHandshakes ||' 'm_handshakes >= 0 ||' \
+mutate "links: any number of handshakes at once" src/dial_schedule.h 'm_handshakes < MaxConcurrentHandshakes ||' 'm_handshakes >= 0 ||' \
     '*few attempts at once*,*two handshakes at once*'
-mutate "links: handshakes without an end are remembered" src/dial_schedule.h '|| now - m_lastHandshake >= HandshakeMemory);' ');' \
+mutate "links: handshakes without an end are remembered" src/dial_schedule.h '|| now - m_lastHandshake >= HandshakeExpiry);' ');' \
     '*few attempts at once*,*two handshakes at once*'
 mutate "links: a dark peer keeps the next attempt back" src/dial_schedule.h 'm_due = now + std::min(' 'm_due = now + 8 * std::min(' '*within 50 ms*'
 mutate "links: answers go on dialled links alone" src/node_links.cpp 'if (const ReplicaId replica = link.replica(); value(replica) != 0) {' \
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -163,26 +163,26 @@
     links.maintain({ReplicaId{Loopback}}, mute.local_endpoint().port());
     TimePoint now = monotonicNow();
     // The opening request on a connection shows that its dialler knows of the answer.
-    for (std::size_t i = 1; i <= MaxHandshakes; ++i) {
-        now += DialPause;
+    for (std::size_t i = 1; i <= MaxConcurrentHandshakes; ++i) {
+        now += InitialDialInterval;
         links.tick(now);
         while (accepted.size() < i || accepted.back().available() == 0) {
             io.poll();
         }
     }
     for (int i = 0; i < 40; ++i) {
-        now += DialPause;
+        now += InitialDialInterval;
         links.tick(now);
         io.poll();
     }
-    CHECK(accepted.size() == MaxHandshakes);
+    CHECK(accepted.size() == MaxConcurrentHandshakes);
     // Attempts whose end nobody told are forgotten in time, so that dialling never stops.
-    now += HandshakeMemory;
+    now += HandshakeExpiry;
     links.tick(now);
-    while (accepted.size() == MaxHandshakes) {
+    while (accepted.size() == MaxConcurrentHandshakes) {
         io.run_one();
     }
-    CHECK(accepted.size() > MaxHandshakes);
+    CHECK(accepted.size() > MaxConcurrentHandshakes);
 }
 
 TEST_CASE("a replica that dials nobody reaches the one that dialled it, on that one's link")
@@ -346,7 +346,7 @@
     // The peer is dark: no attempt ends, and none keeps the next one back.
     for (; now < TimePoint{} + milliseconds(500); now += milliseconds(5)) {
         if (schedule.due(now)) {
-            CHECK(now - before <= DialPause);
+            CHECK(now - before <= InitialDialInterval);
             before = now;
             schedule.began(now);
         }
@@ -362,26 +362,26 @@
     CHECK(attempts < 150);
     schedule.linked();
     schedule.began(now);
-    CHECK(schedule.due(now + DialPause));
+    CHECK(schedule.due(now + InitialDialInterval));
 }
 
 TEST_CASE("a peer that answers slowly gets two handshakes at once, and more once those are over or forgotten")
 {
     DialSchedule schedule;
     TimePoint now{};
-    for (int i = 0; i < MaxHandshakes; ++i) {
+    for (int i = 0; i < MaxConcurrentHandshakes; ++i) {
         schedule.began(now);
         schedule.connected(now);
     }
-    now += MaxDialPause;
+    now += MaxDialInterval;
     CHECK_FALSE(schedule.due(now));
     schedule.handshakeEnded();
     CHECK(schedule.due(now));
     schedule.began(now);
     schedule.connected(now);
-    CHECK_FALSE(schedule.due(now + HandshakeMemory - milliseconds(1)));
-    now += HandshakeMemory;
+    CHECK_FALSE(schedule.due(now + HandshakeExpiry - milliseconds(1)));
+    now += HandshakeExpiry;
     CHECK(schedule.due(now));
     schedule.began(now);
-    CHECK(schedule.due(now + DialPause));
+    CHECK(schedule.due(now + InitialDialInterval));
 }
