--- a/src/dial_schedule.h
+++ b/src/dial_schedule.h
@@ -36,7 +36,7 @@
         return now >= m_due && (m_handshakes < MaxConcurrentHandshakes || now - m_lastHandshake >= HandshakeExpiry);
     }
 
-    void began(TimePoint now)
+    void attemptStarted(TimePoint now)
     {
         if (now - m_lastHandshake >= HandshakeExpiry) {
             m_handshakes = 0;
@@ -59,7 +59,7 @@
     }
 
     // The peer said who it is: the next attempts are the first ones again.
-    void linked()
+    void linkEstablished()
     {
         m_attempts = 0;
     }
--- a/src/node_links.cpp
+++ b/src/node_links.cpp
@@ -90,7 +90,7 @@
 
 void NodeLinks::dial(ReplicaId replica, Dial &dial)
 {
-    dial.schedule.began(m_clock.now());
+    dial.schedule.attemptStarted(m_clock.now());
     m_hub.connect(addressText({value(replica), m_port}), m_port, value(replica));
 }
 
@@ -161,7 +161,7 @@
         m_replicaLinks[replica].push_back(handle);
     }
     if (const auto dial = m_dials.find(link.dialledTo); dial != m_dials.end()) {
-        dial->second.schedule.linked();
+        dial->second.schedule.linkEstablished();
     }
     m_callbacks.established(handle, hello);
 }
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -348,7 +348,7 @@
         if (schedule.due(now)) {
             CHECK(now - before <= InitialDialInterval);
             before = now;
-            schedule.began(now);
+            schedule.attemptStarted(now);
         }
     }
     // One that stays dark is dialled ever more rarely.
@@ -356,12 +356,12 @@
     for (; now < TimePoint{} + seconds(60); now += milliseconds(5)) {
         if (schedule.due(now)) {
             ++attempts;
-            schedule.began(now);
+            schedule.attemptStarted(now);
         }
     }
     CHECK(attempts < 150);
-    schedule.linked();
-    schedule.began(now);
+    schedule.linkEstablished();
+    schedule.attemptStarted(now);
     CHECK(schedule.due(now + InitialDialInterval));
 }
 
@@ -370,18 +370,18 @@
     DialSchedule schedule;
     TimePoint now{};
     for (int i = 0; i < MaxConcurrentHandshakes; ++i) {
-        schedule.began(now);
+        schedule.attemptStarted(now);
         schedule.connected(now);
     }
     now += MaxDialInterval;
     CHECK_FALSE(schedule.due(now));
     schedule.handshakeEnded();
     CHECK(schedule.due(now));
-    schedule.began(now);
+    schedule.attemptStarted(now);
     schedule.connected(now);
     CHECK_FALSE(schedule.due(now + HandshakeExpiry - milliseconds(1)));
     now += HandshakeExpiry;
     CHECK(schedule.due(now));
-    schedule.began(now);
+    schedule.attemptStarted(now);
     CHECK(schedule.due(now + InitialDialInterval));
 }
