--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -34,7 +34,7 @@
 // A replica's links: to the others, one dialled by each of a pair, and to balancers that only take.
 struct FleetModel::Links {
     struct Link {
-        ReplicaPlace peer;
+        ReplicaLocation peer;
         ReplicaLinkId peerLink = 0; // The same link as its other end calls it; 0 for a balancer's.
         bool dialled = false;
     };
@@ -85,7 +85,7 @@
 };
 
 struct FleetModel::Replica {
-    ReplicaPlace place;
+    ReplicaLocation place;
     Links links;
     std::unique_ptr<BasicTargetExchange<Links>> exchange;
     double processorSeconds = 0;
@@ -256,7 +256,7 @@
     if (at == replica.links.links.end()) {
         return; // Lost with the link.
     }
-    const ReplicaPlace peer = at->second.peer;
+    const ReplicaLocation peer = at->second.peer;
     timed(replica, [&] {
         if (const std::optional<NodeMessage> decoded = decodeMessage<NodeMessage>(message)) {
             dispatch(replica, peer, link, *decoded);
@@ -264,7 +264,7 @@
     });
 }
 
-void FleetModel::dispatch(Replica &replica, const ReplicaPlace &peer, ReplicaLinkId link, const NodeMessage &message)
+void FleetModel::dispatch(Replica &replica, const ReplicaLocation &peer, ReplicaLinkId link, const NodeMessage &message)
 {
     BasicTargetExchange<Links> &exchange = *replica.exchange;
     if (const auto *news = std::get_if<TargetStatusList>(&message)) {
--- a/bench/fleet_model.h
+++ b/bench/fleet_model.h
@@ -81,7 +81,7 @@
     void bootAll(std::vector<std::vector<TargetStatus>> known);
     void linkUp(std::size_t dialler, std::size_t acceptor);
     void deliver(std::size_t from, ReplicaLinkId link, const Bytes &message);
-    void dispatch(Replica &replica, const ReplicaPlace &peer, ReplicaLinkId link, const NodeMessage &message);
+    void dispatch(Replica &replica, const ReplicaLocation &peer, ReplicaLinkId link, const NodeMessage &message);
     void tick(std::size_t replica, std::uint64_t boot);
     void announce(std::size_t target, std::uint64_t generation);
     void drainTarget(std::size_t target, Duration serveOn);
--- a/bench/simulation.cpp
+++ b/bench/simulation.cpp
@@ -331,7 +331,7 @@
         const bool control = std::holds_alternative<Heartbeat>(outgoing.message) || std::holds_alternative<HandoverFlows>(outgoing.message)
             || std::holds_alternative<HandoverReceived>(outgoing.message);
         if (control && measuring()) {
-            from.controlBytes += encodeMessage(outgoing.message).size() + GuardOverhead;
+            from.controlBytes += encodeMessage(outgoing.message).size() + DatagramAuthOverhead;
         }
         if (!connected(from.dataCentre, to.dataCentre)) {
             return;
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -214,13 +214,13 @@
         core->tick(Start);
         double bytes = 0;
         for (const Outgoing &outgoing : core->takeOutbox()) {
-            bytes += static_cast<double>(encodeMessage(outgoing.message).size() + GuardOverhead);
+            bytes += static_cast<double>(encodeMessage(outgoing.message).size() + DatagramAuthOverhead);
         }
         return bytes;
     });
     report("making and sealing those heartbeats", "us", "peer", {7, 50, 100, 200}, [](double size) {
         const auto core = balancerWith(static_cast<std::uint16_t>(size), 0);
-        DatagramGuard guard(ClusterKey{1}, {BalancerId{1}, Incarnation{1}});
+        DatagramAuthenticator guard(ClusterKey{1}, {BalancerId{1}, Incarnation{1}});
         TimePoint now = Start;
         return microsecondsOf(
             [&] {
@@ -246,8 +246,8 @@
     report("opening and taking heartbeats", "us", "heartbeat", {10, 20, 40, 80}, [](double size) {
         const auto core = balancerWith(1, 0);
         const ClusterKey key{1};
-        DatagramGuard sender(key, {BalancerId{2}, Incarnation{1'700'000'000'000}});
-        DatagramGuard receiver(key, {BalancerId{1}, Incarnation{1}});
+        DatagramAuthenticator sender(key, {BalancerId{2}, Incarnation{1'700'000'000'000}});
+        DatagramAuthenticator receiver(key, {BalancerId{1}, Incarnation{1}});
         std::uint64_t counter = 1;
         return microsecondsOf(
             [&] {
--- a/fuzz/fuzz_record.cpp
+++ b/fuzz/fuzz_record.cpp
@@ -15,7 +15,7 @@
     (void)Ready;
     ControlState state;
     state.restore({data, size});
-    DatagramGuard guard(ClusterKey{1}, {BalancerId{1}, Incarnation{1}});
+    DatagramAuthenticator guard(ClusterKey{1}, {BalancerId{1}, Incarnation{1}});
     guard.open({data, size});
     SecureSession session(ClusterKey{1}, PeerRole::Control, 1, false);
     session.receive({data, size});
--- a/src/announcement_choice.h
+++ b/src/announcement_choice.h
@@ -21,16 +21,16 @@
 
 // The replica for a target, one of those that can be reached; empty if it is not told with this announcement. Replicas of
 // its data centre go first, and targets spread over equals by rendezvous hashing.
-inline std::optional<ReplicaId> announcementReplica(const TargetRecord &record, std::span<const ReplicaPlace> reachable)
+inline std::optional<ReplicaId> announcementReplica(const TargetRecord &record, std::span<const ReplicaLocation> reachable)
 {
     const bool told = (record.sequence + hashPair(value(record.key), 0)) % AnnouncementsPerMove == 0;
     if (!told || reachable.empty()) {
         return std::nullopt;
     }
-    const auto rank = [&record](const ReplicaPlace &place) {
+    const auto rank = [&record](const ReplicaLocation &place) {
         return std::pair(place.dataCentre == record.dataCentre, hashPair(value(record.key), value(place.replica)));
     };
-    const auto best = std::max_element(reachable.begin(), reachable.end(), [&rank](const ReplicaPlace &left, const ReplicaPlace &right) {
+    const auto best = std::max_element(reachable.begin(), reachable.end(), [&rank](const ReplicaLocation &left, const ReplicaLocation &right) {
         return rank(left) < rank(right);
     });
     return best->replica;
--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -232,7 +232,7 @@
 
 void BalancerDaemon::takePeer(TimePoint now, Endpoint from, BytesView bytes)
 {
-    const std::optional<DatagramGuard::Opened> opened = m_guard.open(bytes);
+    const std::optional<DatagramAuthenticator::Opened> opened = m_guard.open(bytes);
     if (!opened) {
         return m_core.context().reject(now, RejectReason::UnknownSender);
     }
@@ -309,7 +309,7 @@
 {
     if (const auto *offer = std::get_if<BundleOffer>(&message)) {
         takeOffer(link, *offer);
-    } else if (const auto *beat = std::get_if<ControlBeat>(&message)) {
+    } else if (const auto *beat = std::get_if<ControlHeartbeat>(&message)) {
         m_rollout.noteBeat(monotonicNow(), *beat);
     }
 }
--- a/src/balancer_daemon.h
+++ b/src/balancer_daemon.h
@@ -95,7 +95,7 @@
     BalancerMemory m_memory;
     bool m_testFaults;
     BalancerCore<DealtSlots> m_core;
-    DatagramGuard m_guard;
+    DatagramAuthenticator m_guard;
     RolloutAgent m_rollout;
     SecureLinks m_links;
     HttpServer m_http;
--- a/src/codec.h
+++ b/src/codec.h
@@ -312,7 +312,7 @@
 
 // Which alternative of a variant an encoded message holds; empty if it does not begin like one. Variants have fewer than
 // 24 alternatives, whose numbers are one byte of CBOR, behind the head of an array of two.
-inline std::optional<std::size_t> messageKind(BytesView bytes)
+inline std::optional<std::size_t> messageTypeIndex(BytesView bytes)
 {
     constexpr std::uint8_t ArrayOfTwo = 0x82;
     constexpr std::uint8_t SmallNumbers = 24;
--- a/src/control_daemon.cpp
+++ b/src/control_daemon.cpp
@@ -216,7 +216,7 @@
     m_nextBeat = now + ControlBeatInterval;
     for (const RolloutTracker::Subscriber &subscriber : m_tracker.subscribers()) {
         const BundleVersion *version = m_driver.core().state().versionFor(subscriber.balancer.id);
-        const ControlBeat message{version != nullptr ? version->version : 0, m_driver.core().raft().inContact(now)};
+        const ControlHeartbeat message{version != nullptr ? version->version : 0, m_driver.core().raft().inContact(now)};
         for (const LinkHandle link : m_links.linksTo(PeerRole::Balancer, value(subscriber.balancer.id))) {
             m_links.send(link, message);
         }
--- a/src/datagram_guard.cpp
+++ b/src/datagram_guard.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t NumberSize = 6;
 constexpr std::size_t HeaderSize = SenderSize + 2 * NumberSize;
 constexpr std::size_t MacSize = 8;
-static_assert(HeaderSize + MacSize == GuardOverhead);
+static_assert(HeaderSize + MacSize == DatagramAuthOverhead);
 static_assert(MacSize == crypto_shorthash_siphash24_BYTES);
 
 void appendInteger(Bytes &bytes, std::uint64_t number, std::size_t size)
@@ -58,16 +58,16 @@
     return true;
 }
 
-DatagramGuard::DatagramGuard(const ClusterKey &key, BalancerKey self)
+DatagramAuthenticator::DatagramAuthenticator(const ClusterKey &key, BalancerKey self)
     : m_self(self)
 {
     crypto_generichash(m_key.data(), m_key.size(), reinterpret_cast<const unsigned char *>(Purpose.data()), Purpose.size(), key.data(), key.size());
 }
 
-Bytes DatagramGuard::seal(BytesView payload)
+Bytes DatagramAuthenticator::seal(BytesView payload)
 {
     Bytes bytes;
-    bytes.reserve(payload.size() + GuardOverhead);
+    bytes.reserve(payload.size() + DatagramAuthOverhead);
     appendInteger(bytes, value(m_self.id), SenderSize);
     appendInteger(bytes, value(m_self.incarnation), NumberSize);
     appendInteger(bytes, ++m_sent, NumberSize);
@@ -78,9 +78,9 @@
     return bytes;
 }
 
-std::optional<DatagramGuard::Opened> DatagramGuard::open(BytesView datagram)
+std::optional<DatagramAuthenticator::Opened> DatagramAuthenticator::open(BytesView datagram)
 {
-    if (datagram.size() < GuardOverhead) {
+    if (datagram.size() < DatagramAuthOverhead) {
         return std::nullopt;
     }
     const BytesView content = datagram.first(datagram.size() - MacSize);
--- a/src/datagram_guard.h
+++ b/src/datagram_guard.h
@@ -13,7 +13,7 @@
 
 // Bytes that the guard adds to a datagram: sender (2), incarnation (6), number (6) and MAC (8). The
 // incarnation is in milliseconds and the number counts datagrams, so 48 bits last for thousands of years.
-inline constexpr std::size_t GuardOverhead = 2 + 6 + 6 + 8;
+inline constexpr std::size_t DatagramAuthOverhead = 2 + 6 + 6 + 8;
 
 // Numbers a sender's datagrams and accepts each number once, within a window for reordering.
 class ReplayWindow
@@ -28,10 +28,10 @@
     std::uint64_t m_highest = 0;
 };
 
-class DatagramGuard
+class DatagramAuthenticator
 {
 public:
-    DatagramGuard(const ClusterKey &key, BalancerKey self);
+    DatagramAuthenticator(const ClusterKey &key, BalancerKey self);
 
     Bytes seal(BytesView payload);
 
--- a/src/drain_confirmations.cpp
+++ b/src/drain_confirmations.cpp
@@ -4,7 +4,7 @@
 
 namespace Robinrail {
 
-DrainConfirmations::DrainConfirmations(const LossTolerance &borne, const ReplicaPlace &self)
+DrainConfirmations::DrainConfirmations(const LossTolerance &borne, const ReplicaLocation &self)
     : m_borne(borne)
     , m_self{{self.replica, self.dataCentre}}
 {
@@ -29,7 +29,7 @@
     m_open.emplace(lifetime, Open{phase, m_self, now + DrainAnswerTimeout, std::move(respond)});
 }
 
-void DrainConfirmations::receipt(const ReplicaPlace &from, TargetLifetime lifetime, TargetPhase phase)
+void DrainConfirmations::receipt(const ReplicaLocation &from, TargetLifetime lifetime, TargetPhase phase)
 {
     const auto [first, last] = m_open.equal_range(lifetime);
     for (auto at = first; at != last;) {
--- a/src/drain_confirmations.h
+++ b/src/drain_confirmations.h
@@ -22,7 +22,7 @@
     using Respond = std::function<void(bool confirmed)>;
 
     // Besides `self` so many others must know that any borne loss leaves one of them.
-    DrainConfirmations(const LossTolerance &borne, const ReplicaPlace &self);
+    DrainConfirmations(const LossTolerance &borne, const ReplicaLocation &self);
 
     // Whether enough replicas knew of this phase of a lifetime at some time. A replica that loses its disk after that is told
     // again when it links up, so the word holds.
@@ -35,7 +35,7 @@
     void await(TimePoint now, TargetLifetime lifetime, TargetPhase phase, Respond respond);
 
     // Another replica knows that the target is in this phase.
-    void receipt(const ReplicaPlace &from, TargetLifetime lifetime, TargetPhase phase);
+    void receipt(const ReplicaLocation &from, TargetLifetime lifetime, TargetPhase phase);
 
     // Gives up on those that waited too long; how many these were.
     std::size_t expire(TimePoint now);
--- a/src/gossip.cpp
+++ b/src/gossip.cpp
@@ -24,7 +24,7 @@
 {
     Reception reception;
     reception.effect = m_context.peers.heartbeat(now, heartbeat);
-    for (const TargetNews &news : heartbeat.news) {
+    for (const GossipedAnnouncement &news : heartbeat.news) {
         const AnnouncementEffect effect = m_context.targets.announce(now, news.announcement, news.age, news.knownFor);
         if (effect == AnnouncementEffect::Drained) {
             reception.drained.push_back(news.announcement.target);
@@ -103,7 +103,7 @@
     return heartbeat;
 }
 
-TargetNews Gossip::newsOf(TimePoint now, const Target &target) const
+GossipedAnnouncement Gossip::newsOf(TimePoint now, const Target &target) const
 {
     return {target.announcement, now - target.lastHeard, now - target.firstHeard};
 }
--- a/src/gossip.h
+++ b/src/gossip.h
@@ -61,7 +61,7 @@
         TimePoint heard;
     };
     Heartbeat header() const;
-    TargetNews newsOf(TimePoint now, const Target &target) const;
+    GossipedAnnouncement newsOf(TimePoint now, const Target &target) const;
     void spread(TimePoint now, TargetId target);
     void sendAllNews(TimePoint now, const Peer &peer);
     std::vector<TargetRenewal> takeRenewals(TimePoint now);
--- a/src/link_message.h
+++ b/src/link_message.h
@@ -8,7 +8,7 @@
 namespace Robinrail {
 
 // Largest message on a link, bytes; a snapshot of the control state must fit.
-inline constexpr std::size_t MaxLinkMessage = std::size_t{64} << 20U;
+inline constexpr std::size_t MaxLinkMessageSize = std::size_t{64} << 20U;
 
 // A raft message with its addressee. A replica drops what is for another cluster or another disk: a
 // message to a voter whose disk was lost must not reach the replica that took its place. `to.disk` 0
@@ -64,7 +64,7 @@
 
 // A replica's sign of life to a subscribed balancer: the newest version that this balancer may have, as
 // far as the replica knows, and whether the replica is in contact with a quorum.
-struct ControlBeat {
+struct ControlHeartbeat {
     std::uint64_t version = 0;
     bool inContact = false;
 
@@ -82,6 +82,6 @@
     }
 };
 
-using LinkMessage = std::variant<RaftEnvelope, Subscribe, BundleOffer, VersionReport, ControlBeat, LinkPing>;
+using LinkMessage = std::variant<RaftEnvelope, Subscribe, BundleOffer, VersionReport, ControlHeartbeat, LinkPing>;
 
 } // namespace Robinrail
--- a/src/link_silence.h
+++ b/src/link_silence.h
@@ -13,16 +13,16 @@
 inline constexpr Duration LinkPingInterval = std::chrono::milliseconds(500);
 
 // A link on which nothing was heard for this long is closed: four lost pings.
-inline constexpr Duration LinkSilenceLimit = std::chrono::milliseconds(2000);
+inline constexpr Duration LinkTimeout = std::chrono::milliseconds(2000);
 
 // When something was last heard and said on a link.
-struct LinkTimes {
+struct LinkActivity {
     TimePoint heard;
     TimePoint said;
 
     bool silent(TimePoint now) const
     {
-        return now - heard >= LinkSilenceLimit;
+        return now - heard >= LinkTimeout;
     }
 
     bool pingDue(TimePoint now) const
@@ -32,10 +32,10 @@
 };
 
 // The clock of a process's links.
-class LinkClock
+class LinkActivityClock
 {
 public:
-    explicit LinkClock(TimePoint now)
+    explicit LinkActivityClock(TimePoint now)
         : m_now(now)
     {
     }
@@ -43,7 +43,7 @@
     // Moves on; whether the process stood still before, so that nothing can be said about the silence of others.
     bool turn(TimePoint now)
     {
-        return now - std::exchange(m_now, now) >= LinkSilenceLimit / 2;
+        return now - std::exchange(m_now, now) >= LinkTimeout / 2;
     }
 
     TimePoint now() const
--- a/src/link_traffic.cpp
+++ b/src/link_traffic.cpp
@@ -49,7 +49,7 @@
 
 void LinkTraffic::count(LinkDirection direction, LinkDistance distance, BytesView message)
 {
-    const std::optional<std::size_t> kind = messageKind(message);
+    const std::optional<std::size_t> kind = messageTypeIndex(message);
     if (kind && *kind < Kinds) {
         m_tallies[placeOf(*kind, direction, distance)] += {1, message.size()};
     }
--- a/src/log.cpp
+++ b/src/log.cpp
@@ -33,9 +33,9 @@
     return result + "\"";
 }
 
-LossyOutput &standardOutput()
+NonBlockingLineBuffer &standardOutput()
 {
-    static LossyOutput output(STDOUT_FILENO);
+    static NonBlockingLineBuffer output(STDOUT_FILENO);
     return output;
 }
 
--- a/src/lossy_output.cpp
+++ b/src/lossy_output.cpp
@@ -19,24 +19,24 @@
 
 } // namespace
 
-LossyOutput::LossyOutput(int descriptor)
+NonBlockingLineBuffer::NonBlockingLineBuffer(int descriptor)
     : m_descriptor(descriptor)
 {
 }
 
-std::uint64_t LossyOutput::dropped() const
+std::uint64_t NonBlockingLineBuffer::dropped() const
 {
     return m_dropped;
 }
 
-std::streamsize LossyOutput::xsputn(const char *text, std::streamsize count)
+std::streamsize NonBlockingLineBuffer::xsputn(const char *text, std::streamsize count)
 {
     m_pending.append(text, static_cast<std::size_t>(count));
     writeLines();
     return count;
 }
 
-LossyOutput::int_type LossyOutput::overflow(int_type character)
+NonBlockingLineBuffer::int_type NonBlockingLineBuffer::overflow(int_type character)
 {
     if (character != traits_type::eof()) {
         m_pending.push_back(static_cast<char>(character));
@@ -45,13 +45,13 @@
     return traits_type::not_eof(character);
 }
 
-int LossyOutput::sync()
+int NonBlockingLineBuffer::sync()
 {
     return 0;
 }
 
 // Writes whole lines, each in one call; a longer one than a pipe takes at once is cut.
-void LossyOutput::writeLines()
+void NonBlockingLineBuffer::writeLines()
 {
     for (std::size_t end = m_pending.find('\n'); end != std::string::npos; end = m_pending.find('\n')) {
         std::string line = m_pending.substr(0, end);
--- a/src/lossy_output.h
+++ b/src/lossy_output.h
@@ -8,11 +8,11 @@
 
 namespace Robinrail {
 
-class LossyOutput : public std::streambuf
+class NonBlockingLineBuffer : public std::streambuf
 {
 public:
     // Writes to an open descriptor, which stays its owner's.
-    explicit LossyOutput(int descriptor);
+    explicit NonBlockingLineBuffer(int descriptor);
 
     // Lines that were dropped so far.
     std::uint64_t dropped() const;
--- a/src/message.h
+++ b/src/message.h
@@ -309,7 +309,7 @@
 
 // One target's announcement in a heartbeat. Its age keeps gossip from prolonging a lease, and knownFor
 // keeps a balancer that joins from starting a warm target slowly.
-struct TargetNews {
+struct GossipedAnnouncement {
     Announcement announcement;
     Duration age{};
     Duration knownFor{};
@@ -342,7 +342,7 @@
     bool stopping = false;
     std::optional<BalancerKey> successor;
     std::uint64_t bundleVersion = 0;
-    std::vector<TargetNews> news;
+    std::vector<GossipedAnnouncement> news;
     std::vector<TargetRenewal> renewals;
 
     auto fields()
--- a/src/node_links.cpp
+++ b/src/node_links.cpp
@@ -16,7 +16,7 @@
     , m_clock(monotonicNow())
     , m_trafficLogDue(m_clock.now() + TrafficLogInterval)
     , m_hub(io,
-            MaxLinkMessage,
+            MaxLinkMessageSize,
             {[this](LinkHandle handle, std::uint64_t tag) {
                  opened(handle, tag);
              },
--- a/src/node_links.h
+++ b/src/node_links.h
@@ -57,7 +57,7 @@
     // seeds alone and has no other way to answer a leader that is none of them.
     //
     // Of several it is the one on which something was heard last, so that a connection that falls silent keeps messages back
-    // for LinkPingInterval instead of LinkSilenceLimit, before a leader steps down.
+    // for LinkPingInterval instead of LinkTimeout, before a leader steps down.
     LinkHandle linkTo(ReplicaId replica) const;
 
     // Established links that peers of this role dialled.
@@ -79,7 +79,7 @@
     struct Link {
         std::optional<NodeHello> peer; // Once it said hello.
         ReplicaId dialledTo{}; // 0: accepted.
-        LinkTimes times;
+        LinkActivity times;
 
         // The replica at the other end; 0 if that is a balancer, or has not said hello.
         ReplicaId replica() const
@@ -110,7 +110,7 @@
     std::map<ReplicaId, std::vector<LinkHandle>> m_replicaLinks; // Established ones, by who is at the other end.
     std::map<ReplicaId, Dial> m_dials;
     std::uint16_t m_port = 0;
-    LinkClock m_clock;
+    LinkActivityClock m_clock;
     LinkTraffic m_traffic;
     TimePoint m_trafficLogDue;
     std::uint64_t m_refused = 0; // Links closed from here: one too many, or a message that can't be read.
--- a/src/node_message.h
+++ b/src/node_message.h
@@ -40,11 +40,11 @@
 };
 
 // A replica and its data centre; 0 as long as that is not known.
-struct ReplicaPlace {
+struct ReplicaLocation {
     ReplicaId replica{};
     DataCentreId dataCentre{};
 
-    bool operator==(const ReplicaPlace &) const = default;
+    bool operator==(const ReplicaLocation &) const = default;
 
     auto fields()
     {
@@ -54,7 +54,7 @@
 
 // Where replicas are, as far as the sender knows.
 struct ReplicaList {
-    std::vector<ReplicaPlace> replicas;
+    std::vector<ReplicaLocation> replicas;
 
     auto fields()
     {
@@ -154,7 +154,7 @@
 
 // A replica to the others, and each to balancers: the finder tried just now to connect to these targets, in vain.
 struct TargetsUnreachable {
-    ReplicaPlace finder;
+    ReplicaLocation finder;
     std::vector<TargetKey> keys;
 
     auto fields()
--- a/src/prober_choice.h
+++ b/src/prober_choice.h
@@ -18,11 +18,11 @@
 
 // The replicas that probe a target: `count` of those that can be reached, of different data centres as far as there are
 // any, since those of one are cut off together.
-inline std::vector<ReplicaId> chooseProbers(TargetKey target, std::span<const ReplicaPlace> reachable, std::size_t count)
+inline std::vector<ReplicaId> chooseProbers(TargetKey target, std::span<const ReplicaLocation> reachable, std::size_t count)
 {
-    std::vector<ReplicaPlace> ranked(reachable.begin(), reachable.end());
-    std::sort(ranked.begin(), ranked.end(), [target](const ReplicaPlace &one, const ReplicaPlace &other) {
-        const auto rank = [target](const ReplicaPlace &place) {
+    std::vector<ReplicaLocation> ranked(reachable.begin(), reachable.end());
+    std::sort(ranked.begin(), ranked.end(), [target](const ReplicaLocation &one, const ReplicaLocation &other) {
+        const auto rank = [target](const ReplicaLocation &place) {
             return std::pair(hashPair(value(target), value(place.replica)), value(place.replica));
         };
         return rank(one) > rank(other);
@@ -30,7 +30,7 @@
     std::map<DataCentreId, std::size_t> taken;
     std::vector<std::pair<std::size_t, ReplicaId>> rounds; // In which round through the data centres it has its turn.
     rounds.reserve(ranked.size());
-    for (const ReplicaPlace &place : ranked) {
+    for (const ReplicaLocation &place : ranked) {
         rounds.emplace_back(taken[place.dataCentre]++, place.replica);
     }
     std::stable_sort(rounds.begin(), rounds.end(), [](const auto &one, const auto &other) {
--- a/src/recovery_notes.h
+++ b/src/recovery_notes.h
@@ -12,7 +12,7 @@
     std::uint64_t disk = 0; // Whose log this is about.
     LogIndex committed{}; // Entries up to here are committed, which never stops being true.
     std::vector<TargetStatus> targets; // As last known.
-    std::vector<ReplicaPlace> replicas; // Where they were; balancers look for those of their own data centre.
+    std::vector<ReplicaLocation> replicas; // Where they were; balancers look for those of their own data centre.
 
     static constexpr std::size_t OldestFields = 3;
 
--- a/src/replica_choice.cpp
+++ b/src/replica_choice.cpp
@@ -15,7 +15,7 @@
 }
 
 // Own data centre first; among equals the order is this balancer's own, by rendezvous hashing.
-void ReplicaChoice::know(std::span<const ReplicaPlace> named, std::span<const ReplicaId> seeds)
+void ReplicaChoice::know(std::span<const ReplicaLocation> named, std::span<const ReplicaId> seeds)
 {
     enum class Rank : std::uint8_t {
         Near,
@@ -26,7 +26,7 @@
     for (const ReplicaId seed : seeds) {
         ranks.try_emplace(seed, Rank::Unnamed);
     }
-    for (const ReplicaPlace &place : named) {
+    for (const ReplicaLocation &place : named) {
         const Rank rank = place.dataCentre == m_dataCentre ? Rank::Near : Rank::Far;
         const auto [at, added] = ranks.try_emplace(place.replica, rank);
         at->second = std::min(at->second, rank);
--- a/src/replica_choice.h
+++ b/src/replica_choice.h
@@ -49,7 +49,7 @@
     ReplicaChoice(DataCentreId dataCentre, std::uint64_t self);
 
     // Which replicas there are. Seeds that no replica named come last.
-    void know(std::span<const ReplicaPlace> named, std::span<const ReplicaId> seeds);
+    void know(std::span<const ReplicaLocation> named, std::span<const ReplicaId> seeds);
 
     // A replica's machine took a connection; its link is up; is lost.
     void answered(TimePoint now, ReplicaId replica);
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -101,7 +101,7 @@
             const RecoveryNotes notes = readRecoveryNotes(m_file.dataFolder / NotesFile, disk);
             m_driver.emplace(std::move(storage), now, std::random_device()(), policyOf(m_file), notes.committed);
             m_targets.restore(now, notes.targets);
-            for (const ReplicaPlace &known : notes.replicas) {
+            for (const ReplicaLocation &known : notes.replicas) {
                 m_dataCentres.try_emplace(known.replica, known.dataCentre);
             }
             m_dataCentres[m_self] = m_file.dataCentreId(m_file.dataCentre);
@@ -372,7 +372,7 @@
         return probe(list);
     }
     const std::size_t probers = 2 * m_file.borneLosses + 1; // So that enough are left of them when a borne loss has struck.
-    const std::vector<ReplicaPlace> reachable = reachableReplicas();
+    const std::vector<ReplicaLocation> reachable = reachableReplicas();
     std::map<ReplicaId, TargetsUnanswered> shares;
     for (const TargetKey key : list.keys) {
         for (const ReplicaId replica : chooseProbers(key, reachable, probers)) {
@@ -396,15 +396,15 @@
     });
 }
 
-ReplicaPlace ReplicaNode::place() const
+ReplicaLocation ReplicaNode::place() const
 {
     return {m_self, m_file.dataCentreId(m_file.dataCentre)};
 }
 
 // This replica and those that it is linked with.
-std::vector<ReplicaPlace> ReplicaNode::reachableReplicas() const
+std::vector<ReplicaLocation> ReplicaNode::reachableReplicas() const
 {
-    std::vector<ReplicaPlace> reachable{place()};
+    std::vector<ReplicaLocation> reachable{place()};
     for (const auto &[replica, dataCentre] : m_dataCentres) {
         if (replica != m_self && m_links.linkTo(replica) != 0) {
             reachable.push_back({replica, dataCentre});
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -123,8 +123,8 @@
     void onClosed(LinkHandle link, const NodeHello &peer);
     void onUnanswered(const NodeHello &peer, const TargetsUnanswered &list);
     void probe(const TargetsUnanswered &list);
-    ReplicaPlace place() const;
-    std::vector<ReplicaPlace> reachableReplicas() const;
+    ReplicaLocation place() const;
+    std::vector<ReplicaLocation> reachableReplicas() const;
     void tellUnreachable(TimePoint now);
     void sendTable(LinkHandle link);
     void logLeader();
--- a/src/rollout.cpp
+++ b/src/rollout.cpp
@@ -84,7 +84,7 @@
     return OfferEffect::Applied;
 }
 
-void RolloutAgent::noteBeat(TimePoint now, const ControlBeat &beat)
+void RolloutAgent::noteBeat(TimePoint now, const ControlHeartbeat &beat)
 {
     if (beat.inContact) {
         m_lastContact = now;
--- a/src/rollout.h
+++ b/src/rollout.h
@@ -36,7 +36,7 @@
     bool restore(std::uint64_t version, std::string_view text);
 
     OfferEffect take(const BundleOffer &offer);
-    void noteBeat(TimePoint now, const ControlBeat &beat);
+    void noteBeat(TimePoint now, const ControlHeartbeat &beat);
 
     std::uint64_t version() const;
     const Bundle &bundle() const;
--- a/src/secure_links.cpp
+++ b/src/secure_links.cpp
@@ -16,7 +16,7 @@
     , m_callbacks(std::move(callbacks))
     , m_clock(monotonicNow())
     , m_hub(io,
-            MaxLinkMessage,
+            MaxLinkMessageSize,
             {[this](LinkHandle handle, std::uint64_t tag) {
                  opened(handle, tag);
              },
@@ -54,7 +54,7 @@
         }
         return;
     }
-    const LinkTimes times{m_clock.now(), m_clock.now()};
+    const LinkActivity times{m_clock.now(), m_clock.now()};
     const auto [at, added] = m_links.emplace(handle, Link{SecureSession(m_key, m_role, m_id, tag != 0), tag, times});
     m_hub.send(handle, at->second.session.hello());
 }
--- a/src/secure_links.h
+++ b/src/secure_links.h
@@ -57,7 +57,7 @@
     struct Link {
         SecureSession session;
         std::uint64_t tag = 0; // Of the maintained address that was dialled; 0: accepted.
-        LinkTimes times;
+        LinkActivity times;
         bool pinged = false; // By the peer: earlier releases do not ping, so that their silence says nothing.
     };
     void opened(LinkHandle handle, std::uint64_t tag);
@@ -78,7 +78,7 @@
     std::map<LinkHandle, Link> m_links;
     std::map<PeerRole, std::set<std::uint16_t>> m_dropped;
     std::uint64_t m_rejected = 0;
-    LinkClock m_clock;
+    LinkActivityClock m_clock;
     WebsocketHub m_hub;
 };
 
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -173,7 +173,7 @@
     for (const Endpoint &seed : m_file.seeds) {
         seeds.push_back(ReplicaId{seed.address});
     }
-    std::vector<ReplicaPlace> named;
+    std::vector<ReplicaLocation> named;
     for (const auto &[replica, list] : m_lists) {
         named.insert(named.end(), list.begin(), list.end());
     }
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -101,7 +101,7 @@
     FlowSteering m_steering;
     StandstillWatch m_standstill;
     TimePoint m_now;
-    std::map<ReplicaId, std::vector<ReplicaPlace>> m_lists; // Replicas that each replica named.
+    std::map<ReplicaId, std::vector<ReplicaLocation>> m_lists; // Replicas that each replica named.
     ReplicaChoice m_choice;
     DirectoryFollower m_follower;
     std::map<ReplicaId, LinkHandle> m_following; // The links on which replicas were asked for their directories.
--- a/src/target_exchange.h
+++ b/src/target_exchange.h
@@ -49,7 +49,7 @@
     using Respond = std::function<void(bool taken)>;
 
     // The exchange of the replica `self`. Targets announce themselves once in `announceInterval`.
-    BasicTargetExchange(Links &links, TimePoint now, const ReplicaPlace &self, Duration announceInterval, const LossTolerance &borne);
+    BasicTargetExchange(Links &links, TimePoint now, const ReplicaLocation &self, Duration announceInterval, const LossTolerance &borne);
 
     // Calls of the targets.
     void announce(TimePoint now, const TargetRecord &record, Respond respond);
@@ -77,7 +77,7 @@
     // What another replica says over its link.
     void onNews(TimePoint now, ReplicaLinkId link, const TargetStatusList &list);
     void onHeard(TimePoint now, ReplicaLinkId link, const TargetsHeard &beat);
-    void onReceipts(TimePoint now, const ReplicaPlace &from, const TargetReceipts &list);
+    void onReceipts(TimePoint now, const ReplicaLocation &from, const TargetReceipts &list);
     void onCompare(TimePoint now, ReplicaLinkId link, const DirectoryCompare &compare);
     void onDigest(TimePoint now, ReplicaLinkId link, const DirectoryDigest &digest);
     void onQuery(TimePoint now, ReplicaLinkId link, const DirectoryQuery &query);
--- a/src/target_exchange_detail.h
+++ b/src/target_exchange_detail.h
@@ -25,7 +25,7 @@
 } // namespace detail
 
 template<ExchangeLinks Links>
-BasicTargetExchange<Links>::BasicTargetExchange(Links &links, TimePoint now, const ReplicaPlace &self, Duration announceInterval, const LossTolerance &borne)
+BasicTargetExchange<Links>::BasicTargetExchange(Links &links, TimePoint now, const ReplicaLocation &self, Duration announceInterval, const LossTolerance &borne)
     : m_links(links)
     , m_announceInterval(announceInterval)
     , m_directory(announceInterval, announceInterval * MissedAnnouncements + AnnouncementSlack)
@@ -166,7 +166,7 @@
 }
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::onReceipts(TimePoint now, const ReplicaPlace &from, const TargetReceipts &list)
+void BasicTargetExchange<Links>::onReceipts(TimePoint now, const ReplicaLocation &from, const TargetReceipts &list)
 {
     m_receiptsAt = now;
     for (const TargetReceipt &receipt : list.receipts) {
--- a/src/target_probe.h
+++ b/src/target_probe.h
@@ -103,7 +103,7 @@
     }
 
     // A replica found this target unreachable. Whether that makes it certain.
-    bool unreachable(TimePoint now, const ReplicaPlace &finder, TargetKey key)
+    bool unreachable(TimePoint now, const ReplicaLocation &finder, TargetKey key)
     {
         forgetOld(now);
         if (m_findings.size() >= MaxTargetProbes && !m_findings.contains(key)) {
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -251,7 +251,7 @@
     const LinkHandle silent = near.dialled().front();
     proxy.setFault(Soak::LinkFault::OpenSilent, {});
     const TimePoint fell = now;
-    while (near.linkTo(Far) == silent && now - fell < LinkSilenceLimit * 2) {
+    while (near.linkTo(Far) == silent && now - fell < LinkTimeout * 2) {
         pass(Tick);
     }
     CHECK(now - fell < ElectionTimeout * 2);
@@ -315,7 +315,7 @@
     REQUIRE(passUntil([&] {
         return closed == 1;
     }));
-    CHECK(now - fell <= LinkSilenceLimit + LinkPingInterval);
+    CHECK(now - fell <= LinkTimeout + LinkPingInterval);
     REQUIRE(passUntil([&] {
         return established == 2;
     }));
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -105,10 +105,10 @@
 TEST_CASE("datagrams are taken once, from those who hold the key, and not from an older run")
 {
     const ClusterKey key{1};
-    DatagramGuard old(key, {BalancerId{1}, Incarnation{1}});
-    DatagramGuard sender(key, {BalancerId{1}, Incarnation{2}});
-    DatagramGuard stranger({2}, {BalancerId{1}, Incarnation{3}});
-    DatagramGuard receiver(key, {BalancerId{2}, Incarnation{1}});
+    DatagramAuthenticator old(key, {BalancerId{1}, Incarnation{1}});
+    DatagramAuthenticator sender(key, {BalancerId{1}, Incarnation{2}});
+    DatagramAuthenticator stranger({2}, {BalancerId{1}, Incarnation{3}});
+    DatagramAuthenticator receiver(key, {BalancerId{2}, Incarnation{1}});
     const Bytes payload{1, 2, 3};
     const Bytes first = sender.seal(payload);
     const Bytes second = sender.seal(payload);
@@ -154,7 +154,7 @@
 {
     int ends[2] = {};
     REQUIRE(::pipe(ends) == 0);
-    LossyOutput output(ends[1]);
+    NonBlockingLineBuffer output(ends[1]);
     std::ostream stream(&output);
     constexpr int Lines = 5000;
     for (int i = 0; i < Lines; ++i) {
--- a/tests/test_replica.cpp
+++ b/tests/test_replica.cpp
@@ -139,7 +139,7 @@
 
 TEST_CASE("recovery notes tell where replicas are, and those of the release before are read")
 {
-    const ReplicaPlace place{ReplicaId{4}, DataCentreId{2}};
+    const ReplicaLocation place{ReplicaId{4}, DataCentreId{2}};
     const std::optional<RecoveryNotes> notes = decodeNotes(encodeNotes({9, LogIndex{12}, {}, {place}}));
     REQUIRE(notes);
     CHECK(notes->replicas == std::vector{place});
--- a/tests/test_replica_choice.cpp
+++ b/tests/test_replica_choice.cpp
@@ -27,7 +27,7 @@
     return record;
 }
 
-std::vector<ReplicaPlace> threePlaces()
+std::vector<ReplicaLocation> threePlaces()
 {
     return {{Far, Elsewhere}, {Near, Home}, {Farther, Elsewhere}};
 }
@@ -213,7 +213,7 @@
     chooser.linkUp(Near);
     chooser.choice.completed(Near);
     chooser.run(milliseconds(500));
-    const std::vector<ReplicaPlace> rest = {{Far, Elsewhere}, {Farther, Elsewhere}};
+    const std::vector<ReplicaLocation> rest = {{Far, Elsewhere}, {Farther, Elsewhere}};
     chooser.choice.know(rest, {});
     chooser.run(milliseconds(50));
     CHECK_FALSE(chooser.choice.wanted().contains(Near));
--- a/tests/test_target_probe.cpp
+++ b/tests/test_target_probe.cpp
@@ -20,8 +20,8 @@
 constexpr DataCentreId Here{1};
 constexpr ReplicaId FirstReplica{11};
 constexpr ReplicaId SecondReplica{12};
-constexpr ReplicaPlace FirstFinder{FirstReplica, Here};
-constexpr ReplicaPlace SecondFinder{SecondReplica, Here};
+constexpr ReplicaLocation FirstFinder{FirstReplica, Here};
+constexpr ReplicaLocation SecondFinder{SecondReplica, Here};
 constexpr LossTolerance OneReplica{1, 0};
 constexpr Endpoint FeedRoute{0xc6120001, 443};
 constexpr TargetKey Silent{101};
@@ -292,9 +292,9 @@
 }
 
 // Replicas in data centres of so many each.
-std::vector<ReplicaPlace> replicasIn(std::uint32_t dataCentres, std::uint32_t each)
+std::vector<ReplicaLocation> replicasIn(std::uint32_t dataCentres, std::uint32_t each)
 {
-    std::vector<ReplicaPlace> places;
+    std::vector<ReplicaLocation> places;
     for (std::uint32_t i = 0; i < dataCentres * each; ++i) {
         places.push_back({ReplicaId{100 + i}, DataCentreId(1 + i % dataCentres)});
     }
@@ -304,8 +304,8 @@
 TEST_CASE("probers of a target are the same few for all who reach them, in different data centres, and spread over the replicas")
 {
     constexpr std::size_t Probers = 5;
-    const std::vector<ReplicaPlace> places = replicasIn(5, 5);
-    std::vector<ReplicaPlace> reversed(places.rbegin(), places.rend());
+    const std::vector<ReplicaLocation> places = replicasIn(5, 5);
+    std::vector<ReplicaLocation> reversed(places.rbegin(), places.rend());
     std::map<ReplicaId, int> load;
     constexpr std::uint64_t Targets = 1400;
     for (std::uint64_t key = 1; key <= Targets; ++key) {
@@ -320,7 +320,7 @@
         CHECK(LossTolerance{4, 4}.isOutlivedBy(witnesses));
     }
     constexpr auto Mean = static_cast<int>(Targets * Probers / 25);
-    for (const ReplicaPlace &place : places) {
+    for (const ReplicaLocation &place : places) {
         CHECK(load[place.replica] > Mean / 2);
         CHECK(load[place.replica] < Mean * 2);
     }
@@ -330,9 +330,9 @@
 {
     CHECK(chooseProbers(Silent, replicasIn(1, 3), 5).size() == 3);
     CHECK(chooseProbers(Silent, {}, 5).empty());
-    std::vector<ReplicaPlace> places = replicasIn(5, 5);
+    std::vector<ReplicaLocation> places = replicasIn(5, 5);
     const std::vector<ReplicaId> before = chooseProbers(Silent, places, 5);
-    std::erase_if(places, [&before](const ReplicaPlace &place) {
+    std::erase_if(places, [&before](const ReplicaLocation &place) {
         return place.replica == before.front();
     });
     const std::vector<ReplicaId> after = chooseProbers(Silent, places, 5);
--- a/tests/test_targets.cpp
+++ b/tests/test_targets.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr ReplicaPlace Self{ReplicaId{10}, DataCentreId{1}};
-constexpr ReplicaPlace FirstPlace{ReplicaId{11}, DataCentreId{1}};
-constexpr ReplicaPlace SecondPlace{ReplicaId{12}, DataCentreId{2}};
+constexpr ReplicaLocation Self{ReplicaId{10}, DataCentreId{1}};
+constexpr ReplicaLocation FirstPlace{ReplicaId{11}, DataCentreId{1}};
+constexpr ReplicaLocation SecondPlace{ReplicaId{12}, DataCentreId{2}};
 const TimePoint Start(std::chrono::hours(1));
 
 TargetRecord targetOf(std::uint64_t key, const std::string &service)
