--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -109,7 +109,7 @@
     }
     const Link &link = at->second;
     const DataCentreId own = model->m_replicas[owner]->place.dataCentre;
-    const LinkDistance distance = link.peer.dataCentre == own ? LinkDistance::Near : LinkDistance::Far;
+    const LinkDistance distance = link.peer.dataCentre == own ? LinkDistance::SameDataCentre : LinkDistance::OtherDataCentre;
     if (link.peerLink == 0) {
         toBalancers.count(LinkDirection::Sent, distance, message);
         return;
@@ -117,9 +117,10 @@
     toReplicas.count(LinkDirection::Sent, distance, message);
     ++messagesToReplicas;
     const auto peer = static_cast<std::size_t>(value(link.peer.replica)) - 1;
-    model->at(model->m_now + (distance == LinkDistance::Near ? NearDelay : FarDelay), [target = model, peer, peerLink = link.peerLink, bytes = message] {
-        target->deliver(peer, peerLink, bytes);
-    });
+    model->at(model->m_now + (distance == LinkDistance::SameDataCentre ? NearDelay : FarDelay),
+              [target = model, peer, peerLink = link.peerLink, bytes = message] {
+                  target->deliver(peer, peerLink, bytes);
+              });
 }
 
 FleetModel::FleetModel(const FleetShape &shape, std::uint64_t seed)
@@ -381,9 +382,9 @@
         const auto sent = [](const LinkTraffic &traffic, LinkDistance distance) {
             return static_cast<double>(traffic.bytes(LinkDirection::Sent, distance));
         };
-        figures.replicaBytes += sent(links.toReplicas, LinkDistance::Near) + sent(links.toReplicas, LinkDistance::Far);
-        figures.balancerBytes += sent(links.toBalancers, LinkDistance::Near) + sent(links.toBalancers, LinkDistance::Far);
-        figures.farBytes += sent(links.toReplicas, LinkDistance::Far) + sent(links.toBalancers, LinkDistance::Far);
+        figures.replicaBytes += sent(links.toReplicas, LinkDistance::SameDataCentre) + sent(links.toReplicas, LinkDistance::OtherDataCentre);
+        figures.balancerBytes += sent(links.toBalancers, LinkDistance::SameDataCentre) + sent(links.toBalancers, LinkDistance::OtherDataCentre);
+        figures.farBytes += sent(links.toReplicas, LinkDistance::OtherDataCentre) + sent(links.toBalancers, LinkDistance::OtherDataCentre);
         figures.replicaMessages += static_cast<double>(std::exchange(links.messagesToReplicas, 0));
         figures.busiestProcessorSeconds = std::max(figures.busiestProcessorSeconds, replica->processorSeconds);
         figures.processorSeconds += std::exchange(replica->processorSeconds, 0.0);
--- a/src/link_traffic.cpp
+++ b/src/link_traffic.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::array AllDirections{LinkDirection::Sent, LinkDirection::Received};
-constexpr std::array AllDistances{LinkDistance::Near, LinkDistance::Far, LinkDistance::Unknown};
+constexpr std::array AllDistances{LinkDistance::SameDataCentre, LinkDistance::OtherDataCentre, LinkDistance::Unknown};
 
 std::string_view nameOf(LinkDirection direction)
 {
@@ -23,9 +23,9 @@
 std::string_view nameOf(LinkDistance distance)
 {
     switch (distance) {
-    case LinkDistance::Near:
+    case LinkDistance::SameDataCentre:
         return "near";
-    case LinkDistance::Far:
+    case LinkDistance::OtherDataCentre:
         return "far";
     case LinkDistance::Unknown:
         break;
@@ -91,7 +91,7 @@
 {
     std::string text;
     for (const LinkDirection direction : AllDirections) {
-        for (const LinkDistance distance : {LinkDistance::Near, LinkDistance::Far}) {
+        for (const LinkDistance distance : {LinkDistance::SameDataCentre, LinkDistance::OtherDataCentre}) {
             const Tally &tally = at(kind, direction, distance);
             text += (text.empty() ? "" : ",") + std::to_string(tally.messages) + ':' + std::to_string(tally.bytes);
         }
--- a/src/link_traffic.h
+++ b/src/link_traffic.h
@@ -17,8 +17,8 @@
 
 // Where the other end of a link is.
 enum class LinkDistance : std::uint8_t {
-    Near, // In the same data centre.
-    Far, // In another one.
+    SameDataCentre, // In the same data centre.
+    OtherDataCentre, // In another one.
     Unknown, // It has not said so yet.
 };
 
--- a/src/node_links.cpp
+++ b/src/node_links.cpp
@@ -293,7 +293,7 @@
     if (!link.peer) {
         return LinkDistance::Unknown;
     }
-    return link.peer->dataCentre == m_self.dataCentre ? LinkDistance::Near : LinkDistance::Far;
+    return link.peer->dataCentre == m_self.dataCentre ? LinkDistance::SameDataCentre : LinkDistance::OtherDataCentre;
 }
 
 void NodeLinks::logTraffic() const
--- a/tests/test_link_traffic.cpp
+++ b/tests/test_link_traffic.cpp
@@ -25,15 +25,15 @@
     LinkTraffic traffic;
     const Bytes ping = pingMessage();
     const Bytes heard = heardMessage();
-    traffic.count(LinkDirection::Sent, LinkDistance::Near, ping);
-    traffic.count(LinkDirection::Sent, LinkDistance::Far, heard);
-    traffic.count(LinkDirection::Sent, LinkDistance::Far, heard);
-    traffic.count(LinkDirection::Received, LinkDistance::Far, ping);
-
-    CHECK(traffic.bytes(LinkDirection::Sent, LinkDistance::Near) == ping.size());
-    CHECK(traffic.bytes(LinkDirection::Sent, LinkDistance::Far) == 2 * heard.size());
-    CHECK(traffic.bytes(LinkDirection::Received, LinkDistance::Near) == 0);
-    CHECK(traffic.bytes(LinkDirection::Received, LinkDistance::Far) == ping.size());
+    traffic.count(LinkDirection::Sent, LinkDistance::SameDataCentre, ping);
+    traffic.count(LinkDirection::Sent, LinkDistance::OtherDataCentre, heard);
+    traffic.count(LinkDirection::Sent, LinkDistance::OtherDataCentre, heard);
+    traffic.count(LinkDirection::Received, LinkDistance::OtherDataCentre, ping);
+
+    CHECK(traffic.bytes(LinkDirection::Sent, LinkDistance::SameDataCentre) == ping.size());
+    CHECK(traffic.bytes(LinkDirection::Sent, LinkDistance::OtherDataCentre) == 2 * heard.size());
+    CHECK(traffic.bytes(LinkDirection::Received, LinkDistance::SameDataCentre) == 0);
+    CHECK(traffic.bytes(LinkDirection::Received, LinkDistance::OtherDataCentre) == ping.size());
 
     MetricsText text;
     traffic.describe(text);
