--- a/src/node_links.cpp
+++ b/src/node_links.cpp
@@ -301,12 +301,12 @@
     m_traffic.log();
 }
 
-void NodeLinks::describe(MetricsText &text) const
+void NodeLinks::writeMetrics(MetricsText &text) const
 {
     text.gauge("robinrail_links", "Links to other nodes", static_cast<double>(m_links.size()));
     text.counter("robinrail_links_refused_total", "Links closed as one too many, or for a message that can't be read", static_cast<double>(m_refused));
     text.counter("robinrail_link_bytes_sent_total", "Bytes sent on links", static_cast<double>(m_hub.bytesSent()));
-    m_traffic.describe(text);
+    m_traffic.writeMetrics(text);
 }
 
 } // namespace Robinrail
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -466,7 +466,7 @@
     }
     text.counter("robinrail_notes_not_written_total", "Times that the recovery notes could not be written", static_cast<double>(m_notes.failures()));
     text.counter("robinrail_log_lines_dropped_total", "Log lines that standard output could not take", static_cast<double>(droppedLogLines()));
-    m_links.describe(text);
+    m_links.writeMetrics(text);
     return text.text();
 }
 
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -428,7 +428,7 @@
     text.counter("robinrail_held_too_long_total", "Packets that were held for too long, or were too many", static_cast<double>(m_heldTooLong));
     text.counter("robinrail_send_failures_total", "Packets that the kernel refused", static_cast<double>(m_sendFailures));
     text.counter("robinrail_log_lines_dropped_total", "Log lines that standard output could not take", static_cast<double>(droppedLogLines()));
-    m_links.describe(text);
+    m_links.writeMetrics(text);
     return text.text();
 }
 
--- a/tests/test_link_traffic.cpp
+++ b/tests/test_link_traffic.cpp
@@ -36,7 +36,7 @@
     CHECK(traffic.bytes(LinkDirection::Received, LinkDistance::OtherDataCentre) == ping.size());
 
     MetricsText text;
-    traffic.describe(text);
+    traffic.writeMetrics(text);
     const std::string figures = text.text();
     const auto has = [&figures](const std::string &line) {
         return figures.find(line + '\n') != std::string::npos;
