--- a/src/node_message.h
+++ b/src/node_message.h
@@ -154,12 +154,12 @@
 
 // A replica to the others, and each to balancers: the finder tried just now to connect to these targets, in vain.
 struct TargetsUnreachable {
-    ReplicaLocation finder;
+    ReplicaLocation reporter;
     std::vector<TargetKey> keys;
 
     auto fields()
     {
-        return std::tie(finder, keys);
+        return std::tie(reporter, keys);
     }
 };
 
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -360,7 +360,7 @@
         m_targets.onQuery(monotonicNow(), link, *query);
     } else if (const auto *answered = std::get_if<DirectoryAnswered>(&message)) {
         m_targets.onAnswered(link, *answered);
-    } else if (const auto *gone = std::get_if<TargetsUnreachable>(&message); gone != nullptr && gone->finder.replica == peer.replica) {
+    } else if (const auto *gone = std::get_if<TargetsUnreachable>(&message); gone != nullptr && gone->reporter.replica == peer.replica) {
         m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), *gone);
     }
 }
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -291,8 +291,8 @@
 {
     const TimePoint now = monotonicNow();
     for (const TargetKey key : list.keys) {
-        if (m_findings.unreachable(now, list.finder, key) && m_steering.targets().takeForGone(now, key)) {
-            LogLine(LogLevel::Info, "target-gone").with("target", value(key)).with("replica", toText(list.finder.replica));
+        if (m_findings.unreachable(now, list.reporter, key) && m_steering.targets().takeForGone(now, key)) {
+            LogLine(LogLevel::Info, "target-gone").with("target", value(key)).with("replica", toText(list.reporter.replica));
         }
     }
     resetFlows();
