--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -168,7 +168,7 @@
     boost::system::error_code error;
     port->socket.open(Udp::v4(), error);
     port->socket.set_option(boost::asio::socket_base::receive_buffer_size(SocketBuffer), error);
-    port->socket.bind(toUdp(endpoint), error);
+    port->socket.bind(toUdpEndpoint(endpoint), error);
     if (error) {
         LogLine(LogLevel::Error, "bind-failed").with("address", toText(endpoint)).with("detail", error.message());
         return false;
@@ -198,7 +198,7 @@
                 break;
             }
             if (!error) {
-                take(port, fromUdp(from), {buffer.data(), size});
+                take(port, fromUdpEndpoint(from), {buffer.data(), size});
             }
         }
         flush();
@@ -269,7 +269,7 @@
 void BalancerDaemon::sendDatagram(Udp::socket &socket, Endpoint to, BytesView bytes)
 {
     boost::system::error_code ignored; // A datagram that can't be sent is lost, as any may be.
-    socket.send_to(boost::asio::buffer(bytes.data(), bytes.size()), toUdp(to), 0, ignored);
+    socket.send_to(boost::asio::buffer(bytes.data(), bytes.size()), toUdpEndpoint(to), 0, ignored);
 }
 
 void BalancerDaemon::tick()
--- a/src/directory_follower.cpp
+++ b/src/directory_follower.cpp
@@ -11,12 +11,12 @@
 
 bool isSound(const DirectoryPage &page)
 {
-    return page.life != 0 && page.upTo >= page.after && std::all_of(page.targets.begin(), page.targets.end(), [&page](const ListedTarget &target) {
+    return page.life != 0 && page.upTo >= page.after && std::all_of(page.targets.begin(), page.targets.end(), [&page](const DirectoryPageEntry &target) {
                return target.service < page.services.size();
            });
 }
 
-TargetStatus statusOf(const ListedTarget &listed, const std::vector<std::string> &services)
+TargetStatus statusOf(const DirectoryPageEntry &listed, const std::vector<std::string> &services)
 {
     TargetStatus status;
     status.record.key = listed.key;
@@ -59,7 +59,7 @@
         m_progress.erase(replica);
         return PageVerdict::Gap;
     }
-    for (const ListedTarget &listed : page.targets) {
+    for (const DirectoryPageEntry &listed : page.targets) {
         m_targets.take(now, replica, statusOf(listed, page.services));
         if (progress.listing) {
             progress.listed.insert(listed.key);
--- a/src/directory_publisher.cpp
+++ b/src/directory_publisher.cpp
@@ -19,10 +19,10 @@
     return position;
 }
 
-ListedTarget listedOf(const TargetStatus &status, std::uint16_t service)
+DirectoryPageEntry listedOf(const TargetStatus &status, std::uint16_t service)
 {
     const TargetRecord &record = status.record;
-    ListedTarget listed;
+    DirectoryPageEntry listed;
     listed.key = record.key;
     listed.service = service;
     listed.address = record.address;
--- a/src/net.h
+++ b/src/net.h
@@ -8,12 +8,12 @@
 
 namespace Robinrail {
 
-inline boost::asio::ip::udp::endpoint toUdp(Endpoint endpoint)
+inline boost::asio::ip::udp::endpoint toUdpEndpoint(Endpoint endpoint)
 {
     return {boost::asio::ip::address_v4(endpoint.address), endpoint.port};
 }
 
-inline Endpoint fromUdp(const boost::asio::ip::udp::endpoint &endpoint)
+inline Endpoint fromUdpEndpoint(const boost::asio::ip::udp::endpoint &endpoint)
 {
     return {static_cast<std::uint32_t>(endpoint.address().to_v4().to_uint()), endpoint.port()};
 }
--- a/src/node_message.h
+++ b/src/node_message.h
@@ -85,7 +85,7 @@
 
 // A target as a page of the directory has it: 32 bytes with a key of 40 bits and a service that
 // others on the page have, too.
-struct ListedTarget {
+struct DirectoryPageEntry {
     TargetKey key{};
     std::uint16_t service = 0; // Position in the page.
     Endpoint address;
@@ -112,7 +112,7 @@
     bool last = false; // Nothing followed when the page was made.
     bool informed = false; // The replica has been told of all targets, or they have had time to announce themselves.
     std::vector<std::string> services;
-    std::vector<ListedTarget> targets;
+    std::vector<DirectoryPageEntry> targets;
 
     auto fields()
     {
--- a/src/packet_port.h
+++ b/src/packet_port.h
@@ -67,7 +67,7 @@
     {
         boost::system::error_code error;
         m_socket.open(boost::asio::ip::udp::v4(), error);
-        m_socket.bind(toUdp(endpoint), error);
+        m_socket.bind(toUdpEndpoint(endpoint), error);
         if (error) {
             return false;
         }
--- a/src/standin_common.h
+++ b/src/standin_common.h
@@ -65,7 +65,7 @@
         constexpr int Buffer = 1 << 20;
         m_socket.open(boost::asio::ip::udp::v4());
         m_socket.set_option(boost::asio::socket_base::receive_buffer_size(Buffer));
-        m_socket.bind(toUdp(local));
+        m_socket.bind(toUdpEndpoint(local));
         m_socket.non_blocking(true);
         wait();
     }
@@ -73,7 +73,7 @@
     void send(Endpoint to, BytesView bytes)
     {
         boost::system::error_code ignored;
-        m_socket.send_to(boost::asio::buffer(bytes.data(), bytes.size()), toUdp(to), 0, ignored);
+        m_socket.send_to(boost::asio::buffer(bytes.data(), bytes.size()), toUdpEndpoint(to), 0, ignored);
     }
 
     void send(Endpoint to, const Message &message)
@@ -104,7 +104,7 @@
                 return;
             }
             if (!error) {
-                m_receive(fromUdp(from), {buffer.data(), size});
+                m_receive(fromUdpEndpoint(from), {buffer.data(), size});
             }
         }
     }
--- a/tests/test_directory.cpp
+++ b/tests/test_directory.cpp
@@ -312,7 +312,7 @@
     CHECK(balancer.take(Start, page) == PageVerdict::Gap);
     page.upTo = 3;
     CHECK(balancer.take(Start, page) == PageVerdict::Malformed);
-    page = {Life, 0, 4, true, true, {"quotes"}, {ListedTarget{}}};
+    page = {Life, 0, 4, true, true, {"quotes"}, {DirectoryPageEntry{}}};
     page.targets[0].service = 1;
     CHECK(balancer.take(Start, page) == PageVerdict::Malformed);
     page.life = 0;
