--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -232,7 +232,7 @@
 
 void BalancerDaemon::takePeer(TimePoint now, Endpoint from, BytesView bytes)
 {
-    const std::optional<DatagramAuthenticator::Opened> opened = m_guard.open(bytes);
+    const std::optional<DatagramAuthenticator::AuthenticatedDatagram> opened = m_guard.open(bytes);
     if (!opened) {
         return m_core.context().reject(now, RejectReason::UnknownSender);
     }
--- a/src/datagram_guard.cpp
+++ b/src/datagram_guard.cpp
@@ -78,7 +78,7 @@
     return bytes;
 }
 
-std::optional<DatagramAuthenticator::Opened> DatagramAuthenticator::open(BytesView datagram)
+std::optional<DatagramAuthenticator::AuthenticatedDatagram> DatagramAuthenticator::open(BytesView datagram)
 {
     if (datagram.size() < DatagramAuthOverhead) {
         return std::nullopt;
@@ -89,7 +89,7 @@
     if (sodium_memcmp(mac.data(), datagram.data() + content.size(), MacSize) != 0) {
         return std::nullopt;
     }
-    Opened opened;
+    AuthenticatedDatagram opened;
     opened.sender.id = BalancerId{static_cast<std::uint16_t>(readInteger(content.first(SenderSize)))};
     opened.sender.incarnation = Incarnation{readInteger(content.subspan(SenderSize, NumberSize))};
     const std::uint64_t number = readInteger(content.subspan(SenderSize + NumberSize, NumberSize));
--- a/src/datagram_guard.h
+++ b/src/datagram_guard.h
@@ -36,11 +36,11 @@
     Bytes seal(BytesView payload);
 
     // The sender and payload of a sound, new datagram of a run that is not older than one seen before.
-    struct Opened {
+    struct AuthenticatedDatagram {
         BalancerKey sender;
         BytesView payload;
     };
-    std::optional<Opened> open(BytesView datagram);
+    std::optional<AuthenticatedDatagram> open(BytesView datagram);
 
 private:
     struct Sender {
