--- a/src/datagram_guard.cpp
+++ b/src/datagram_guard.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-bool ReplayWindow::take(std::uint64_t number)
+bool ReplayWindow::accept(std::uint64_t number)
 {
     if (number + Size <= m_highest) {
         return false;
@@ -101,7 +101,7 @@
     if (opened.sender.incarnation > sender.incarnation) {
         sender = {opened.sender.incarnation, {}};
     }
-    return sender.window.take(number) ? std::optional(opened) : std::nullopt;
+    return sender.window.accept(number) ? std::optional(opened) : std::nullopt;
 }
 
 } // namespace Robinrail
--- a/src/datagram_guard.h
+++ b/src/datagram_guard.h
@@ -20,7 +20,7 @@
 {
 public:
     // Whether the number is new; takes it.
-    bool take(std::uint64_t number);
+    bool accept(std::uint64_t number);
 
 private:
     static constexpr std::size_t Size = 4096;
--- a/src/directory_answers.h
+++ b/src/directory_answers.h
@@ -60,7 +60,7 @@
         TargetStatusList piece;
         for (std::size_t i = 0; i < count; ++i) {
             if (std::optional<TargetStatus> status = m_directory.status(now, keys.back())) {
-                piece.news.push_back(std::move(*status));
+                piece.statuses.push_back(std::move(*status));
             }
             keys.pop_back();
         }
--- a/src/gossip.cpp
+++ b/src/gossip.cpp
@@ -24,7 +24,7 @@
 {
     Reception reception;
     reception.effect = m_context.peers.heartbeat(now, heartbeat);
-    for (const GossipedAnnouncement &news : heartbeat.news) {
+    for (const GossipedAnnouncement &news : heartbeat.announcements) {
         const AnnouncementEffect effect = m_context.targets.announce(now, news.announcement, news.age, news.knownFor);
         if (effect == AnnouncementEffect::Drained) {
             reception.drained.push_back(news.announcement.target);
@@ -58,8 +58,8 @@
     common.counter = ++m_counter;
     for (News &news : m_news) {
         const Target *target = m_context.targets.find(news.target);
-        if (target != nullptr && common.news.size() < MaxNewsPerHeartbeat) {
-            common.news.push_back(newsOf(now, *target));
+        if (target != nullptr && common.announcements.size() < MaxNewsPerHeartbeat) {
+            common.announcements.push_back(newsOf(now, *target));
         }
         --news.repeats;
     }
@@ -79,9 +79,9 @@
             continue;
         }
         Heartbeat own = longer;
-        if (!targets.empty() && own.news.empty() && gossiped == gossipPeers.begin() && m_counter % AntiEntropyInterval == 0) {
+        if (!targets.empty() && own.announcements.empty() && gossiped == gossipPeers.begin() && m_counter % AntiEntropyInterval == 0) {
             // One full announcement in turn repairs whatever news was lost.
-            own.news.push_back(newsOf(now, targets[m_rotation++ % targets.size()]));
+            own.announcements.push_back(newsOf(now, targets[m_rotation++ % targets.size()]));
         }
         m_context.send(peer.endpoint, own);
     }
@@ -116,7 +116,7 @@
     m_news.push_back({target, NewsRepeats});
     Heartbeat urgent = header();
     urgent.counter = ++m_counter;
-    urgent.news.push_back(newsOf(now, *m_context.targets.find(target)));
+    urgent.announcements.push_back(newsOf(now, *m_context.targets.find(target)));
     for (const Peer &peer : m_context.peers.peers()) {
         m_context.send(peer.endpoint, urgent);
     }
@@ -129,7 +129,7 @@
         Heartbeat chunk = header();
         chunk.counter = ++m_counter;
         for (const Target &target : targets.subspan(from, std::min(MaxNewsPerHeartbeat, targets.size() - from))) {
-            chunk.news.push_back(newsOf(now, target));
+            chunk.announcements.push_back(newsOf(now, target));
         }
         m_context.send(peer.endpoint, chunk);
     }
--- a/src/message.h
+++ b/src/message.h
@@ -342,12 +342,12 @@
     bool stopping = false;
     std::optional<BalancerKey> successor;
     std::uint64_t bundleVersion = 0;
-    std::vector<GossipedAnnouncement> news;
+    std::vector<GossipedAnnouncement> announcements;
     std::vector<TargetRenewal> renewals;
 
     auto fields()
     {
-        return std::tie(sender, dataCentre, counter, stopping, successor, bundleVersion, news, renewals);
+        return std::tie(sender, dataCentre, counter, stopping, successor, bundleVersion, announcements, renewals);
     }
 };
 
--- a/src/node_message.h
+++ b/src/node_message.h
@@ -63,11 +63,11 @@
 };
 
 struct TargetStatusList {
-    std::vector<TargetStatus> news;
+    std::vector<TargetStatus> statuses;
 
     auto fields()
     {
-        return std::tie(news);
+        return std::tie(statuses);
     }
 };
 
--- a/src/target_exchange_detail.h
+++ b/src/target_exchange_detail.h
@@ -126,7 +126,7 @@
         TargetStatusList list;
         for (const TargetKey key : left.first(std::min(left.size(), PageTargets))) {
             if (std::optional<TargetStatus> status = m_directory.status(now, key)) {
-                list.news.push_back(std::move(*status));
+                list.statuses.push_back(std::move(*status));
             }
         }
         m_links.sendAll(m_links.dialled(), list);
@@ -139,7 +139,7 @@
     m_reconciler.progressed(now, link);
     std::vector<TargetStatus> changed;
     TargetReceipts receipts;
-    for (const TargetStatus &news : list.news) {
+    for (const TargetStatus &news : list.statuses) {
         if (std::optional<TargetStatus> taken = m_directory.take(now, news)) {
             changed.push_back(std::move(*taken));
         }
--- a/tests/test_directory_digest.cpp
+++ b/tests/test_directory_digest.cpp
@@ -52,7 +52,7 @@
         const std::optional<NodeMessage> decoded = decodeMessage<NodeMessage>(message);
         REQUIRE(decoded);
         if (const auto *list = std::get_if<TargetStatusList>(&*decoded)) {
-            records += list->news.size();
+            records += list->statuses.size();
         }
         bytes += message.size();
         queues[link].push_back(message);
@@ -157,7 +157,7 @@
             replica.answers.begin(from, *query);
         } else if (const auto *list = std::get_if<TargetStatusList>(&message)) {
             replica.reconciler.progressed(now, from);
-            for (const TargetStatus &news : list->news) {
+            for (const TargetStatus &news : list->statuses) {
                 replica.directory.take(now, news);
             }
         } else if (const auto *answer = std::get_if<DirectoryAnswered>(&message)) {
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -130,12 +130,12 @@
     std::set<std::uint64_t> taken;
     for (int i = 1; i < 50'000; ++i) {
         const std::uint64_t number = static_cast<std::uint64_t>(i) + random() % 3000;
-        if (window.take(number)) {
+        if (window.accept(number)) {
             CHECK(taken.insert(number).second);
         }
     }
-    CHECK(window.take(1'000'000));
-    CHECK_FALSE(window.take(1));
+    CHECK(window.accept(1'000'000));
+    CHECK_FALSE(window.accept(1));
 }
 
 TEST_CASE("a latency histogram knows its quantiles")
