--- a/src/cbor_tokens.h
+++ b/src/cbor_tokens.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// CBOR tokens: what the library's parser finds in a CBOR text, in order, without a tree of it.
+// CBOR tokens: a flat list of the data items in a CBOR text, in document order, built by the SAX parser of nlohmann::json.
 //
-// A tree costs an allocation for each array, and a balancer with a small part of a core reads a whole directory when it
-// has just started.
+// A DOM tree would cost one allocation for each array, which is too slow for a balancer that has a fraction of a core and
+// decodes the whole target directory right after its start.
 #pragma once
 
 #include "types.h"
@@ -27,37 +27,37 @@
 
 struct CborToken {
     CborKind kind = CborKind::Null;
-    std::uint64_t number = 0; // Items of an array; a number's bits; position of a text or binary among those.
+    std::uint64_t number = 0; // Array: number of items. Number: its bits. Text or binary: index into the list of such values.
 };
 
-// Deepest nesting of arrays; messages have at most eight. The parser calls itself for each level.
+// Maximum nesting depth of arrays; messages nest at most eight levels. Bounds the recursion of the parser.
 inline constexpr int MaxCborDepth = 32;
 
-// The tokens of a text, to be taken one after the other. Collects them as the parser's handler.
+// The tokens of a CBOR text, consumed in order. The class is also the SAX handler that collects them.
 class CborTokens
 {
 public:
     using Json = nlohmann::json;
 
-    // Empty if the text is malformed, has anything left over, or holds what no message has: maps, fractions, and arrays
-    // that do not say their size. Never throws.
+    // Returns no value if the text is malformed, has trailing bytes, or holds items that no message uses: maps, floating-point
+    // numbers and arrays of indefinite length. Never throws.
     static std::optional<CborTokens> parse(BytesView bytes)
     {
         CborTokens tokens;
         try {
-            const bool sound = Json::sax_parse(bytes.begin(), bytes.end(), &tokens, Json::input_format_t::cbor);
-            return sound ? std::optional(std::move(tokens)) : std::nullopt;
+            const bool valid = Json::sax_parse(bytes.begin(), bytes.end(), &tokens, Json::input_format_t::cbor);
+            return valid ? std::optional(std::move(tokens)) : std::nullopt;
         } catch (const Json::exception &) {
-            // The library throws for some sizes, such as an array header that claims more than memory could hold.
+            // The library throws for some sizes, such as an array header that declares more items than fit into memory.
             return std::nullopt;
         }
     }
 
-    // Takes the next token if it is of this kind; null otherwise.
+    // Consumes the next token if it is of this kind; otherwise returns null and consumes nothing.
     const CborToken *take(CborKind kind)
     {
-        const bool there = m_next < m_tokens.size() && m_tokens[m_next].kind == kind;
-        return there ? &m_tokens[m_next++] : nullptr;
+        const bool matches = m_next < m_tokens.size() && m_tokens[m_next].kind == kind;
+        return matches ? &m_tokens[m_next++] : nullptr;
     }
 
     std::string &text(const CborToken &token)
@@ -70,13 +70,13 @@
         return m_binaries[token.number];
     }
 
-    // Tokens that were not taken yet.
-    std::size_t left() const
+    // Number of tokens that have not been consumed yet.
+    std::size_t remaining() const
     {
         return m_tokens.size() - m_next;
     }
 
-    // What the parser calls; the names are the library's.
+    // SAX callbacks; the names are given by nlohmann::json.
     bool null() // NOLINT(readability-identifier-naming)
     {
         return add(CborKind::Null, 0);
--- a/src/cbor_writer.cpp
+++ b/src/cbor_writer.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// CBOR writer: implementation.
+// CBOR writer: encoding of item heads (RFC 8949, section 3).
 #include "cbor_writer.h"
 
 #include <utility>
@@ -12,25 +12,25 @@
 constexpr std::uint8_t True = 0xf5;
 constexpr std::uint8_t Null = 0xf6;
 
-// Numbers below this stand in the first byte.
-constexpr std::uint64_t SmallNumbers = 24;
+// Arguments below this are encoded in the initial byte itself.
+constexpr std::uint64_t InlineArgumentLimit = 24;
 
-// The first byte, beside the major type, of a number that follows in 1 byte; then come 2, 4 and 8.
-constexpr unsigned OneByte = 24;
-constexpr unsigned EightBytes = 27;
+// Additional information in the initial byte for an argument of 1 byte; 25, 26 and 27 stand for 2, 4 and 8 bytes.
+constexpr unsigned OneByteArgument = 24;
+constexpr unsigned EightByteArgument = 27;
 
 } // namespace
 
 void CborWriter::head(Major major, std::uint64_t number)
 {
     const auto type = static_cast<unsigned>(major);
-    if (number < SmallNumbers) {
+    if (number < InlineArgumentLimit) {
         m_bytes.push_back(static_cast<std::uint8_t>(type | number));
         return;
     }
-    unsigned width = OneByte;
+    unsigned width = OneByteArgument;
     int bits = 8;
-    while (width < EightBytes && number >> static_cast<unsigned>(bits) != 0) {
+    while (width < EightByteArgument && number >> static_cast<unsigned>(bits) != 0) {
         ++width;
         bits *= 2;
     }
--- a/src/cbor_writer.h
+++ b/src/cbor_writer.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// CBOR writer: writes the text of RFC 8949 in order, in its shortest form, without a tree of it.
+// CBOR writer: streaming encoder for CBOR (RFC 8949) that uses the shortest form of every item.
 //
-// A replica writes its whole directory after each change, to its disk and to those that follow it. A tree costs an
-// allocation for each record and several times the text's size in memory.
+// A replica encodes its whole target directory after each change, for its disk and for its followers. A DOM tree would cost
+// one allocation for each record and several times the size of the encoded text in memory.
 #pragma once
 
 #include "types.h"
@@ -21,10 +21,10 @@
     void text(std::string_view text);
     void binary(BytesView bytes);
 
-    // So many items follow.
+    // Starts an array; the caller then writes this number of items.
     void array(std::size_t items);
 
-    // What was written; the writer is empty afterwards.
+    // Returns the encoded bytes and clears the writer.
     Bytes take();
 
 private:
--- a/src/codec.h
+++ b/src/codec.h
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: MIT
-// Codec: turns typed messages into CBOR and back, for packets and for links alike.
+// Codec: encodes typed messages as CBOR and decodes them, for datagrams and links alike.
 //
 // A message is a plain struct with a member function fields() that returns std::tie of its members.
-// On the wire it is a CBOR array: the index of its type in the variant, then the members in order.
-// Positions instead of keys keep control traffic within a few KB/s. A type that gets further members names how many it
-// had at first (`OldestFields`), so that what an earlier release wrote is still read.
+// On the wire it is a CBOR array: the index of its type in the variant, then the array of its members in order.
+// Members are identified by position instead of by key, which keeps control traffic within a few KB/s. A type that has
+// gained members declares the number of members in its first version (`OldestFields`), so that data written by an earlier
+// release can still be decoded.
 #pragma once
 
 #include "cbor_tokens.h"
@@ -34,7 +35,7 @@
 template<typename T>
 concept Enumeration = std::is_enum_v<T>;
 
-// Writing. One overload for each shape of member; composites recurse through fields().
+// Encoding: one overload for each kind of member; composites recurse through fields().
 inline void write(CborWriter &writer, bool flag)
 {
     writer.boolean(flag);
@@ -124,7 +125,7 @@
         const_cast<T &>(object).fields());
 }
 
-// Reading. Each overload takes its tokens, checks type and range, and answers whether they were what it wanted.
+// Decoding: each overload consumes its tokens and returns whether they had the expected type and range.
 inline bool read(CborTokens &tokens, bool &flag)
 {
     const CborToken *token = tokens.take(CborKind::Boolean);
@@ -151,10 +152,10 @@
 template<Enumeration T>
 bool read(CborTokens &tokens, T &number)
 {
-    std::underlying_type_t<T> plain{};
-    const bool taken = read(tokens, plain);
-    number = static_cast<T>(plain);
-    return taken;
+    std::underlying_type_t<T> underlying{};
+    const bool decoded = read(tokens, underlying);
+    number = static_cast<T>(underlying);
+    return decoded;
 }
 
 inline bool read(CborTokens &tokens, std::string &text)
@@ -169,9 +170,9 @@
 inline bool read(CborTokens &tokens, Duration &duration)
 {
     std::int64_t count = 0;
-    const bool taken = read(tokens, count);
+    const bool decoded = read(tokens, count);
     duration = Duration(count);
-    return taken;
+    return decoded;
 }
 
 inline bool read(CborTokens &tokens, Bytes &bytes)
@@ -186,11 +187,11 @@
 template<std::size_t N>
 bool read(CborTokens &tokens, std::array<std::uint8_t, N> &bytes)
 {
-    Bytes taken;
-    if (!read(tokens, taken) || taken.size() != N) {
+    Bytes decoded;
+    if (!read(tokens, decoded) || decoded.size() != N) {
         return false;
     }
-    std::copy_n(taken.begin(), N, bytes.begin());
+    std::copy_n(decoded.begin(), N, bytes.begin());
     return true;
 }
 
@@ -217,7 +218,7 @@
 bool read(CborTokens &tokens, std::vector<T> &list)
 {
     const CborToken *token = tokens.take(CborKind::Array);
-    if (token == nullptr || token->number > tokens.left()) {
+    if (token == nullptr || token->number > tokens.remaining()) {
         return false;
     }
     list.resize(token->number);
@@ -236,9 +237,9 @@
     return read(tokens, maybe.emplace());
 }
 
-// How many of its members a type had at first; all of them, unless it tells.
+// Minimum number of members in the encoding of a type: `OldestFields` if the type declares it, otherwise all members.
 template<typename T>
-constexpr std::size_t oldestFields()
+constexpr std::size_t requiredFields()
 {
     if constexpr (requires { T::OldestFields; }) {
         return T::OldestFields;
@@ -247,31 +248,31 @@
     }
 }
 
-// Members that a type got later are the last ones; where the bytes are of an earlier release they keep their defaults.
+// Members added by later releases are the last ones; they keep their defaults if an earlier release wrote the bytes.
 template<Composite T>
 bool read(CborTokens &tokens, T &object)
 {
     auto members = object.fields();
     const CborToken *array = tokens.take(CborKind::Array);
-    if (array == nullptr || array->number < oldestFields<T>() || array->number > std::tuple_size_v<decltype(members)>) {
+    if (array == nullptr || array->number < requiredFields<T>() || array->number > std::tuple_size_v<decltype(members)>) {
         return false;
     }
-    std::uint64_t left = array->number;
+    std::uint64_t remaining = array->number;
     return std::apply(
-        [&tokens, &left](auto &...member) {
-            return ((left == 0 || (--left, read(tokens, member))) && ...);
+        [&tokens, &remaining](auto &...member) {
+            return ((remaining == 0 || (--remaining, read(tokens, member))) && ...);
         },
         members);
 }
 
 template<typename Variant, std::size_t Index = 0>
-bool readAlternative(std::size_t wanted, CborTokens &tokens, Variant &message)
+bool readAlternative(std::size_t index, CborTokens &tokens, Variant &message)
 {
     if constexpr (Index < std::variant_size_v<Variant>) {
-        if (wanted == Index) {
+        if (index == Index) {
             return read(tokens, message.template emplace<Index>());
         }
-        return readAlternative<Variant, Index + 1>(wanted, tokens, message);
+        return readAlternative<Variant, Index + 1>(index, tokens, message);
     }
     return false;
 }
@@ -287,7 +288,8 @@
     return writer.take();
 }
 
-// Decodes one object; false, with the object in any state, where decodeMessage() gives nothing.
+// Decodes one object. Returns false, with the object in an unspecified state, under the conditions in which decodeMessage()
+// returns no value.
 template<typename T>
 bool decodeObject(BytesView bytes, T &object)
 {
@@ -310,18 +312,19 @@
     return writer.take();
 }
 
-// Which alternative of a variant an encoded message holds; empty if it does not begin like one. Variants have fewer than
-// 24 alternatives, whose numbers are one byte of CBOR, behind the head of an array of two.
+// Returns the variant index of an encoded message without decoding it; no value if the bytes do not begin like a message.
+// A message begins with the head of an array of two items, then the index, which CBOR encodes in one byte because no variant
+// has more than 24 alternatives.
 inline std::optional<std::size_t> messageTypeIndex(BytesView bytes)
 {
     constexpr std::uint8_t ArrayOfTwo = 0x82;
-    constexpr std::uint8_t SmallNumbers = 24;
-    const bool sound = bytes.size() >= 2 && bytes[0] == ArrayOfTwo && bytes[1] < SmallNumbers;
-    return sound ? std::optional<std::size_t>(bytes[1]) : std::nullopt;
+    constexpr std::uint8_t InlineArgumentLimit = 24;
+    const bool valid = bytes.size() >= 2 && bytes[0] == ArrayOfTwo && bytes[1] < InlineArgumentLimit;
+    return valid ? std::optional<std::size_t>(bytes[1]) : std::nullopt;
 }
 
-// Decodes one message of a variant; empty if the bytes are malformed, of an unknown type, carry a
-// number out of range, or have anything left over. Never throws and never reads past the view.
+// Decodes one message of a variant; returns no value if the bytes are malformed, of an unknown type, contain a
+// number out of range, or have trailing bytes. Never throws and never reads past the view.
 template<typename Variant>
 std::optional<Variant> decodeMessage(BytesView bytes)
 {
--- a/tests/test_codec.cpp
+++ b/tests/test_codec.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Codec: every message survives the round trip, and no bytes whatever make decoding fail badly.
+// Codec: every message round-trips, and arbitrary bytes are decoded or rejected without undefined behaviour.
 #include "codec.h"
 #include "link_message.h"
 #include "message.h"
@@ -14,13 +14,13 @@
 
 using Json = nlohmann::json;
 
-// The same CBOR as the library writes it, in its shortest form.
-Bytes libraryText(const Bytes &bytes)
+// The same CBOR text, decoded and re-encoded by nlohmann::json, which uses the shortest form.
+Bytes reencodeWithLibrary(const Bytes &bytes)
 {
     return Json::to_cbor(Json::from_cbor(bytes));
 }
 
-struct ListOfNumbers {
+struct NumberList {
     std::vector<std::uint32_t> numbers;
 
     auto fields()
@@ -42,7 +42,7 @@
 };
 
 template<typename Variant, std::size_t Index = 0>
-void checkAll()
+void checkRoundTrips()
 {
     if constexpr (Index < std::variant_size_v<Variant>) {
         const Variant message{std::in_place_index<Index>};
@@ -51,66 +51,66 @@
         REQUIRE(decoded);
         CHECK(decoded->index() == Index);
         CHECK(encodeMessage(*decoded) == bytes);
-        CHECK(libraryText(bytes) == bytes);
-        checkAll<Variant, Index + 1>();
+        CHECK(reencodeWithLibrary(bytes) == bytes);
+        checkRoundTrips<Variant, Index + 1>();
     }
 }
 
 } // namespace
 
-TEST_CASE("every message of the data path, the links and the consensus survives the round trip")
+TEST_CASE("every message of the data path, the links and Raft round-trips")
 {
-    checkAll<Message>();
-    checkAll<LinkMessage>();
-    checkAll<RaftMessage>();
-    checkAll<ControlChange>();
-    checkAll<NodeMessage>();
+    checkRoundTrips<Message>();
+    checkRoundTrips<LinkMessage>();
+    checkRoundTrips<RaftMessage>();
+    checkRoundTrips<ControlChange>();
+    checkRoundTrips<NodeMessage>();
 }
 
-TEST_CASE("numbers, texts and lists of any size are written as the library writes them")
+TEST_CASE("numbers, texts and arrays of any size are encoded exactly as nlohmann::json encodes them")
 {
-    const auto written = [](auto write) {
+    const auto encodedBy = [](auto write) {
         detail::CborWriter writer;
         write(writer);
         return writer.take();
     };
     for (const std::uint64_t number : {0ULL, 1ULL, 23ULL, 24ULL, 255ULL, 256ULL, 65'535ULL, 65'536ULL, 0xffff'ffffULL, 0x1'0000'0000ULL, ~0ULL}) {
-        CHECK(written([&](auto &writer) {
+        CHECK(encodedBy([&](auto &writer) {
                   writer.number(number);
               })
               == Json::to_cbor(Json(number)));
     }
     for (const std::int64_t number : {0LL, -1LL, -24LL, -25LL, -256LL, -257LL, -65'536LL, -65'537LL, -0x1'0000'0000LL, -0x1'0000'0001LL, 1LL << 40}) {
-        CHECK(written([&](auto &writer) {
+        CHECK(encodedBy([&](auto &writer) {
                   writer.number(number);
               })
               == Json::to_cbor(Json(number)));
     }
-    CHECK(written([](auto &writer) {
+    CHECK(encodedBy([](auto &writer) {
               writer.number(std::numeric_limits<std::int64_t>::min());
           })
           == Json::to_cbor(Json(std::numeric_limits<std::int64_t>::min())));
     for (const std::size_t size : {0, 1, 23, 24, 255, 256, 65'535, 65'536}) {
         const std::string text(size, 'x');
         const Bytes binary(size, 7);
-        CHECK(written([&](auto &writer) {
+        CHECK(encodedBy([&](auto &writer) {
                   writer.text(text);
               })
               == Json::to_cbor(Json(text)));
-        CHECK(written([&](auto &writer) {
+        CHECK(encodedBy([&](auto &writer) {
                   writer.binary(binary);
               })
               == Json::to_cbor(Json::binary(binary)));
-        CHECK(encodeObject(ListOfNumbers{std::vector<std::uint32_t>(size, 9)}) == Json::to_cbor(Json::array({std::vector<std::uint32_t>(size, 9)})));
+        CHECK(encodeObject(NumberList{std::vector<std::uint32_t>(size, 9)}) == Json::to_cbor(Json::array({std::vector<std::uint32_t>(size, 9)})));
     }
 }
 
-TEST_CASE("flags and members that are left out are written as the library writes them")
+TEST_CASE("booleans and absent members are encoded exactly as nlohmann::json encodes them")
 {
     CHECK(encodeObject(Flags{true, false, std::nullopt, 5}) == Json::to_cbor(Json::array({true, false, nullptr, 5})));
 }
 
-TEST_CASE("contents survive the round trip")
+TEST_CASE("the contents of a message round-trip")
 {
     Heartbeat heartbeat;
     heartbeat.sender = {BalancerId{9}, Incarnation{1'700'000'000'000}};
@@ -124,7 +124,7 @@
     CHECK(same.renewals[0].ageMilliseconds == 1500);
 }
 
-TEST_CASE("numbers out of range, wrong types, missing and extra members are refused")
+TEST_CASE("decoding rejects numbers out of range, wrong types, and missing and extra members")
 {
     const auto decodes = [](const Json &json) {
         return decodeMessage<Message>(Json::to_cbor(json)).has_value();
@@ -138,25 +138,25 @@
     CHECK_FALSE(decodes(Json::array({0, Json::array({1}), 3})));
 }
 
-TEST_CASE("truncated, changed and random bytes never do harm")
+TEST_CASE("decoding truncated, corrupted and random bytes is safe")
 {
     pcg64 random(7);
-    const Bytes sound = encodeMessage(Message(Announcement{}));
-    for (std::size_t size = 0; size < sound.size(); ++size) {
-        CHECK_FALSE(decodeMessage<Message>(BytesView(sound).first(size)));
+    const Bytes valid = encodeMessage(Message(Announcement{}));
+    for (std::size_t size = 0; size < valid.size(); ++size) {
+        CHECK_FALSE(decodeMessage<Message>(BytesView(valid).first(size)));
     }
     for (int i = 0; i < 100'000; ++i) {
-        Bytes changed = sound;
-        changed[random() % changed.size()] = static_cast<std::uint8_t>(random());
-        decodeMessage<Message>(changed);
-        Bytes noise(random() % 64);
-        for (std::uint8_t &byte : noise) {
+        Bytes corrupted = valid;
+        corrupted[random() % corrupted.size()] = static_cast<std::uint8_t>(random());
+        decodeMessage<Message>(corrupted);
+        Bytes randomBytes(random() % 64);
+        for (std::uint8_t &byte : randomBytes) {
             byte = static_cast<std::uint8_t>(random());
         }
-        decodeMessage<Message>(noise);
+        decodeMessage<Message>(randomBytes);
     }
-    // An array header that claims more than memory can hold made the library throw.
+    // nlohmann::json throws for an array header that declares more items than fit into memory.
     CHECK_FALSE(decodeMessage<Message>(Bytes{0x9b, 0x34, 0x5f, 1, 2, 3, 4, 5, 6}));
-    // Nesting as deep as a datagram allows.
+    // The deepest nesting that fits into a datagram.
     decodeMessage<Message>(Bytes(MaxDatagramSize, 0x81));
 }
