--- a/src/dial_schedule.h
+++ b/src/dial_schedule.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Dial schedule: when a node tries again to link up with one peer.
+// Dial schedule: decides when a node makes its next attempt to connect to one peer.
 //
-// The pattern that it answers: after a loss of power all machines come back within a few hundred milliseconds, each
-// at its own moment, and until then a machine drops what it gets. An attempt that meets a dark machine says nothing
-// of its end, so the next one must not wait for it. A peer that answers but is slow, as many dial it at once, must
-// get no more attempts instead: each costs it a handshake.
+// After a power failure all machines restart within a few hundred milliseconds of each other, and a machine that is still
+// down drops packets without a reset. An attempt to reach such a machine does not report its failure in time, so the next
+// attempt must not wait for it. A peer that accepts connections but is slow, because many nodes dial it at once, must not
+// get further attempts, as each costs it a handshake.
 #pragma once
 
 #include "types.h"
@@ -13,62 +13,63 @@
 
 namespace Robinrail {
 
-// The pause between attempts at first. It is what a link is late, half of it on average, once the peer is there.
+// Interval between the first attempts. Bounds how late a link is established after the peer has come up; half of it on average.
 inline constexpr Duration InitialDialInterval = std::chrono::milliseconds(50);
 
-// The pause grows by as much after every so many attempts, to 1 s at the most. The first half second, in which most
-// peers come back, has a pause of 50 ms throughout; an attempt takes about 40 us of processor time.
+// The interval grows by InitialDialInterval after this number of attempts, up to MaxDialInterval. It stays at 50 ms for the
+// first half second, in which most peers come back; an attempt takes about 40 us of processor time.
 inline constexpr int AttemptsPerDialInterval = 10;
 inline constexpr Duration MaxDialInterval = std::chrono::milliseconds(1000);
 
-// Attempts that a peer has answered and whose handshakes are under way at once.
+// Most handshakes with one peer that may be in progress at once.
 inline constexpr int MaxConcurrentHandshakes = 2;
 
-// A handshake that said nothing of its end for this long is counted no more: twice the hub's time-out.
+// A handshake whose end has not been reported for this long is no longer counted; more than twice HandshakeTimeoutMs of
+// websocket_hub.cpp.
 inline constexpr Duration HandshakeExpiry = std::chrono::milliseconds(4000);
 
 class DialSchedule
 {
 public:
-    // Whether to begin an attempt now.
+    // Whether to start an attempt now.
     bool due(TimePoint now) const
     {
-        return now >= m_due && (m_handshakes < MaxConcurrentHandshakes || now - m_lastHandshake >= HandshakeExpiry);
+        return now >= m_nextAttempt && (m_pendingHandshakes < MaxConcurrentHandshakes || now - m_lastHandshakeStart >= HandshakeExpiry);
     }
 
     void attemptStarted(TimePoint now)
     {
-        if (now - m_lastHandshake >= HandshakeExpiry) {
-            m_handshakes = 0;
+        if (now - m_lastHandshakeStart >= HandshakeExpiry) {
+            m_pendingHandshakes = 0;
         }
         ++m_attempts;
-        m_due = now + std::min(InitialDialInterval * (1 + m_attempts / AttemptsPerDialInterval), MaxDialInterval);
+        m_nextAttempt = now + std::min(InitialDialInterval * (1 + m_attempts / AttemptsPerDialInterval), MaxDialInterval);
     }
 
-    // The peer's machine answered one of the attempts.
+    // The TCP connection of an attempt is established, and its handshake begins.
     void connected(TimePoint now)
     {
-        ++m_handshakes;
-        m_lastHandshake = now;
+        ++m_pendingHandshakes;
+        m_lastHandshakeStart = now;
     }
 
-    // A handshake ended, whether or not with a link.
+    // A handshake ended, successfully or not.
     void handshakeEnded()
     {
-        m_handshakes = std::max(m_handshakes - 1, 0);
+        m_pendingHandshakes = std::max(m_pendingHandshakes - 1, 0);
     }
 
-    // The peer said who it is: the next attempts are the first ones again.
+    // The peer has identified itself; the next attempts use the initial interval again.
     void linkEstablished()
     {
         m_attempts = 0;
     }
 
 private:
-    int m_attempts = 0; // Since the peer was linked last.
-    int m_handshakes = 0;
-    TimePoint m_lastHandshake;
-    TimePoint m_due;
+    int m_attempts = 0; // Since the last established link.
+    int m_pendingHandshakes = 0;
+    TimePoint m_lastHandshakeStart;
+    TimePoint m_nextAttempt;
 };
 
 } // namespace Robinrail
--- a/src/link_silence.h
+++ b/src/link_silence.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Link silence: when a link needs a ping, and when it counts as dead. A connection can fall silent without a reset, and a
-// message that waits on it is lost without a word for as long as the kernel retransmits, which is many minutes.
+// Link activity: decides when an idle link needs a ping and when a silent link counts as dead. A connection can stop
+// delivering without a reset, and messages queued on it are then lost unnoticed for as long as the kernel retransmits,
+// which is many minutes.
 #pragma once
 
 #include "types.h"
@@ -9,29 +10,29 @@
 
 namespace Robinrail {
 
-// A link that said nothing for this long gets a ping.
+// A ping is sent on a link on which nothing was sent for this long.
 inline constexpr Duration LinkPingInterval = std::chrono::milliseconds(500);
 
-// A link on which nothing was heard for this long is closed: four lost pings.
+// A link on which nothing was received for this long, that is four ping intervals, is closed.
 inline constexpr Duration LinkTimeout = std::chrono::milliseconds(2000);
 
-// When something was last heard and said on a link.
+// Times of the last message in each direction of a link.
 struct LinkActivity {
-    TimePoint heard;
-    TimePoint said;
+    TimePoint lastReceived;
+    TimePoint lastSent;
 
-    bool silent(TimePoint now) const
+    bool timedOut(TimePoint now) const
     {
-        return now - heard >= LinkTimeout;
+        return now - lastReceived >= LinkTimeout;
     }
 
     bool pingDue(TimePoint now) const
     {
-        return now - said >= LinkPingInterval;
+        return now - lastSent >= LinkPingInterval;
     }
 };
 
-// The clock of a process's links.
+// Time of the last tick, shared by all links of a node. Detects that the process itself was stalled.
 class LinkActivityClock
 {
 public:
@@ -40,8 +41,9 @@
     {
     }
 
-    // Moves on; whether the process stood still before, so that nothing can be said about the silence of others.
-    bool turn(TimePoint now)
+    // Advances the clock. Returns whether the process was stalled since the last call, in which case the silence of peers
+    // proves nothing.
+    bool advance(TimePoint now)
     {
         return now - std::exchange(m_now, now) >= LinkTimeout / 2;
     }
--- a/src/link_traffic.cpp
+++ b/src/link_traffic.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Link traffic: implementation.
+// Link traffic: counting, metrics and the log line.
 #include "link_traffic.h"
 
 #include "codec.h"
@@ -33,7 +33,7 @@
     return "unknown";
 }
 
-std::size_t placeOf(std::size_t kind, LinkDirection direction, LinkDistance distance)
+std::size_t tallyIndex(std::size_t kind, LinkDirection direction, LinkDistance distance)
 {
     return (kind * AllDirections.size() + static_cast<std::size_t>(direction)) * AllDistances.size() + static_cast<std::size_t>(distance);
 }
@@ -51,33 +51,33 @@
 {
     const std::optional<std::size_t> kind = messageTypeIndex(message);
     if (kind && *kind < Kinds) {
-        m_tallies[placeOf(*kind, direction, distance)] += {1, message.size()};
+        m_tallies[tallyIndex(*kind, direction, distance)] += {1, message.size()};
     }
 }
 
-const LinkTraffic::Tally &LinkTraffic::at(std::size_t kind, LinkDirection direction, LinkDistance distance) const
+const LinkTraffic::Tally &LinkTraffic::tally(std::size_t kind, LinkDirection direction, LinkDistance distance) const
 {
-    return m_tallies[placeOf(kind, direction, distance)];
+    return m_tallies[tallyIndex(kind, direction, distance)];
 }
 
 std::uint64_t LinkTraffic::bytes(LinkDirection direction, LinkDistance distance) const
 {
     std::uint64_t sum = 0;
     for (std::size_t kind = 0; kind < Kinds; ++kind) {
-        sum += at(kind, direction, distance).bytes;
+        sum += tally(kind, direction, distance).bytes;
     }
     return sum;
 }
 
 void LinkTraffic::writeMetrics(MetricsText &text) const
 {
-    const auto counters = [&](const char *name, const char *help, std::uint64_t Tally::*figure) {
+    const auto counters = [&](const char *name, const char *help, std::uint64_t Tally::*counter) {
         for (std::size_t kind = 0; kind < Kinds; ++kind) {
             for (const LinkDirection direction : AllDirections) {
                 for (const LinkDistance distance : AllDistances) {
                     const std::string labels = "message=\"" + std::string(NodeMessageNames[kind]) + "\",direction=\"" + std::string(nameOf(direction))
                         + "\",distance=\"" + std::string(nameOf(distance)) + '"';
-                    text.counter(name, help, static_cast<double>(at(kind, direction, distance).*figure), labels);
+                    text.counter(name, help, static_cast<double>(tally(kind, direction, distance).*counter), labels);
                 }
             }
         }
@@ -86,14 +86,14 @@
     counters("robinrail_link_message_bytes_total", "Bytes on links by kind of message, direction and distance", &Tally::bytes);
 }
 
-// Sent near, sent far, received near, received far: messages and bytes of each.
+// Formats messages:bytes of four pairs: sent and received, each within the data centre and to others.
 std::string LinkTraffic::tallyText(std::size_t kind) const
 {
     std::string text;
     for (const LinkDirection direction : AllDirections) {
         for (const LinkDistance distance : {LinkDistance::SameDataCentre, LinkDistance::OtherDataCentre}) {
-            const Tally &tally = at(kind, direction, distance);
-            text += (text.empty() ? "" : ",") + std::to_string(tally.messages) + ':' + std::to_string(tally.bytes);
+            const Tally &counted = tally(kind, direction, distance);
+            text += (text.empty() ? "" : ",") + std::to_string(counted.messages) + ':' + std::to_string(counted.bytes);
         }
     }
     return text;
@@ -108,13 +108,13 @@
         }
     }
     for (std::size_t kind = 0; kind < Kinds; ++kind) {
-        Tally all;
+        Tally total;
         for (const LinkDirection direction : AllDirections) {
             for (const LinkDistance distance : AllDistances) {
-                all += at(kind, direction, distance);
+                total += tally(kind, direction, distance);
             }
         }
-        if (all.messages > 0) {
+        if (total.messages > 0) {
             line.with(NodeMessageNames[kind], tallyText(kind));
         }
     }
--- a/src/link_traffic.h
+++ b/src/link_traffic.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Link traffic: messages and bytes on the links between nodes, by kind of message, direction and distance.
+// Link traffic: counters of messages and bytes on the links between nodes, by kind of message, direction and distance.
 #pragma once
 
 #include "metrics.h"
@@ -15,29 +15,29 @@
     Received,
 };
 
-// Where the other end of a link is.
+// Location of the other end of a link.
 enum class LinkDistance : std::uint8_t {
-    SameDataCentre, // In the same data centre.
-    OtherDataCentre, // In another one.
-    Unknown, // It has not said so yet.
+    SameDataCentre,
+    OtherDataCentre,
+    Unknown, // The peer has not sent its hello yet.
 };
 
-// A node's traffic is summed up in its log this often, as nodes that lose power write no last line.
+// Interval of the traffic summary in the log. It is periodic because a node that loses power writes no final line.
 inline constexpr Duration TrafficLogInterval = std::chrono::seconds(10);
 
 class LinkTraffic
 {
 public:
-    // Counts one encoded message; one of an unknown kind is left out.
+    // Counts one encoded message; ignores messages of an unknown kind.
     void count(LinkDirection direction, LinkDistance distance, BytesView message);
 
-    // Bytes so far, headers left out.
+    // Total bytes of messages so far, without framing and protocol headers.
     std::uint64_t bytes(LinkDirection direction, LinkDistance distance) const;
 
-    // Adds counters of messages and bytes, three labels each.
+    // Writes the counters of messages and bytes, labelled by kind, direction and distance.
     void writeMetrics(MetricsText &text) const;
 
-    // Writes one line: bytes by direction and distance, then each kind's messages and bytes where there are any.
+    // Writes one log line: bytes by direction and distance, then messages and bytes of each kind that occurred.
     void log() const;
 
 private:
@@ -52,7 +52,7 @@
         Tally &operator+=(const Tally &other);
     };
 
-    const Tally &at(std::size_t kind, LinkDirection direction, LinkDistance distance) const;
+    const Tally &tally(std::size_t kind, LinkDirection direction, LinkDistance distance) const;
     std::string tallyText(std::size_t kind) const;
 
     std::array<Tally, Kinds * Directions * Distances> m_tallies{};
--- a/src/node_links.cpp
+++ b/src/node_links.cpp
@@ -56,29 +56,29 @@
         }
     }
     for (const LinkHandle handle : unwanted) {
-        drop(handle);
+        closeLink(handle);
     }
 }
 
 void NodeLinks::tick(TimePoint now)
 {
-    const bool stoodStill = m_clock.turn(now);
-    std::vector<LinkHandle> silent;
+    const bool wasStalled = m_clock.advance(now);
+    std::vector<LinkHandle> timedOut;
     for (auto &[handle, link] : m_links) {
-        if (stoodStill) {
-            link.times.heard = now;
+        if (wasStalled) {
+            link.activity.lastReceived = now;
         }
-        if (link.times.silent(now)) {
-            silent.push_back(handle);
-        } else if (link.times.pingDue(now)) {
+        if (link.activity.timedOut(now)) {
+            timedOut.push_back(handle);
+        } else if (link.activity.pingDue(now)) {
             send(handle, NodePing{});
         }
     }
-    for (const LinkHandle handle : silent) {
-        drop(handle);
+    for (const LinkHandle handle : timedOut) {
+        closeLink(handle);
     }
     for (auto &[replica, dial] : m_dials) {
-        if (dial.up == 0 && dial.schedule.due(now)) {
+        if (dial.link == 0 && dial.schedule.due(now)) {
             this->dial(replica, dial);
         }
     }
@@ -98,7 +98,7 @@
 {
     if (const auto dial = m_dials.find(ReplicaId{static_cast<std::uint32_t>(tag)}); dial != m_dials.end()) {
         dial->second.schedule.connected(m_clock.now());
-        m_callbacks.answered(dial->first);
+        m_callbacks.connected(dial->first);
     }
 }
 
@@ -117,14 +117,14 @@
     if (dial != m_dials.end()) {
         dial->second.schedule.handshakeEnded();
     }
-    if (tag != 0 && (dial == m_dials.end() || dial->second.up != 0)) {
-        return m_hub.close(handle); // Not wanted any more, or the second one.
+    if (tag != 0 && (dial == m_dials.end() || dial->second.link != 0)) {
+        return m_hub.close(handle); // No longer wanted, or a second connection to the same replica.
     }
     if (m_links.size() >= MaxNodeLinks) {
         return refuse(handle, "too-many");
     }
     if (tag != 0) {
-        dial->second.up = handle;
+        dial->second.link = handle;
     }
     m_links[handle] = {std::nullopt, replica, {m_clock.now(), m_clock.now()}};
     send(handle, m_self);
@@ -136,14 +136,14 @@
     if (at == m_links.end()) {
         return;
     }
-    at->second.times.heard = m_clock.now();
+    at->second.activity.lastReceived = m_clock.now();
     m_traffic.count(LinkDirection::Received, distanceOf(at->second), bytes);
     const std::optional<NodeMessage> message = decodeMessage<NodeMessage>(bytes);
     if (!message) {
         return refuse(handle, "unreadable");
     }
     if (const auto *hello = std::get_if<NodeHello>(&*message)) {
-        return greeted(handle, at->second, *hello);
+        return handleHello(handle, at->second, *hello);
     }
     if (at->second.peer && !std::holds_alternative<NodePing>(*message)) {
         const NodeHello peer = *at->second.peer;
@@ -151,10 +151,10 @@
     }
 }
 
-void NodeLinks::greeted(LinkHandle handle, Link &link, const NodeHello &hello)
+void NodeLinks::handleHello(LinkHandle handle, Link &link, const NodeHello &hello)
 {
     if (link.peer) {
-        return; // Who is at the other end stays the same as long as the connection does.
+        return; // The identity of a peer is fixed for the lifetime of the connection.
     }
     link.peer = hello;
     if (const ReplicaId replica = link.replica(); value(replica) != 0) {
@@ -170,22 +170,22 @@
 {
     const auto at = m_links.find(handle);
     if (at == m_links.end()) {
-        return; // A link that was dropped before.
+        return; // closeLink() has removed the link already.
     }
     const auto dial = m_dials.find(ReplicaId{static_cast<std::uint32_t>(tag)});
-    if (tag != 0 && dial != m_dials.end() && dial->second.up == handle) {
-        dial->second.up = 0;
+    if (tag != 0 && dial != m_dials.end() && dial->second.link == handle) {
+        dial->second.link = 0;
     }
     const std::optional<NodeHello> peer = at->second.peer;
-    forget(at->second.replica(), handle);
+    removeReplicaLink(at->second.replica(), handle);
     m_links.erase(at);
     if (peer) {
         m_callbacks.closed(handle, *peer);
     }
 }
 
-// Takes a link off those to its replica.
-void NodeLinks::forget(ReplicaId replica, LinkHandle handle)
+// Removes a link from m_replicaLinks.
+void NodeLinks::removeReplicaLink(ReplicaId replica, LinkHandle handle)
 {
     const auto at = m_replicaLinks.find(replica);
     if (at == m_replicaLinks.end()) {
@@ -203,11 +203,11 @@
     if (const auto leftOut = m_refusedLog.take(monotonicNow())) {
         LogLine(LogLevel::Warning, "link-refused").with("reason", reason).with("links", m_links.size()).with("left-out", *leftOut);
     }
-    drop(handle);
+    closeLink(handle);
 }
 
-// Forgets a link at once; its connection may take long to close when the peer is gone.
-void NodeLinks::drop(LinkHandle handle)
+// Removes a link at once and closes its connection, which may take long if the peer is unreachable.
+void NodeLinks::closeLink(LinkHandle handle)
 {
     if (const auto at = m_links.find(handle); at != m_links.end()) {
         closed(handle, value(at->second.dialledTo));
@@ -233,7 +233,7 @@
 void NodeLinks::sendEncoded(LinkHandle link, const Bytes &message)
 {
     if (const auto at = m_links.find(link); at != m_links.end()) {
-        at->second.times.said = m_clock.now();
+        at->second.activity.lastSent = m_clock.now();
         m_hub.send(link, message);
         m_traffic.count(LinkDirection::Sent, distanceOf(at->second), message);
     }
@@ -245,10 +245,11 @@
     if (at == m_replicaLinks.end()) {
         return 0;
     }
-    // Times of hearing are as coarse as ticks. Of equals all messages take the dialled link, so that they stay in order.
+    // Receive times have the resolution of tick(). Among links with equal times all messages use the dialled one, which
+    // preserves their order.
     const auto rank = [this](LinkHandle handle) {
         const Link &link = m_links.at(handle);
-        return std::pair(link.times.heard, value(link.dialledTo));
+        return std::pair(link.activity.lastReceived, value(link.dialledTo));
     };
     return *std::max_element(at->second.begin(), at->second.end(), [&rank](LinkHandle one, LinkHandle other) {
         return rank(one) < rank(other);
--- a/src/node_links.h
+++ b/src/node_links.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Node links: message links between nodes that find each other by address. A broken or silent link is
-// dialled again; the network is trusted, so nothing is authenticated.
+// Node links: message links between nodes that are identified by their addresses. Broken and silent links are
+// dialled again. The network is trusted, so peers are not authenticated.
 #pragma once
 
 #include "dial_schedule.h"
@@ -18,12 +18,12 @@
 
 namespace Robinrail {
 
-// Most links that are open at once; one more is closed, and its dialler tries again. 1,258 balancers that find no quorum
-// may all dial the same replica.
+// Maximum number of open links; a further one is closed, and its dialler tries again. All of 1,258 balancers may dial the
+// same replica if they find no quorum.
 inline constexpr std::size_t MaxNodeLinks = 1280;
 
 struct NodeLinkCallbacks {
-    std::function<void(ReplicaId)> answered; // A dialled replica's machine took the connection.
+    std::function<void(ReplicaId)> connected; // The TCP connection to a dialled replica is established; its handshake begins.
     std::function<void(LinkHandle, const NodeHello &peer)> established;
     std::function<void(LinkHandle, const NodeHello &peer, const NodeMessage &)> received;
     std::function<void(LinkHandle, const NodeHello &peer)> closed; // Only for links that were established.
@@ -36,52 +36,52 @@
 
     bool listen(Endpoint endpoint);
 
-    // Keeps a link to each of these replicas up, and dials no others any more. They listen on `port`.
+    // Maintains a link to each of these replicas, which listen on `port`, and closes dialled links to all others.
     void maintain(const std::set<ReplicaId> &replicas, std::uint16_t port);
 
-    // Call it every 100 ms or so.
+    // Sends pings, closes silent links, dials and logs traffic. To be called about every 100 ms.
     void tick(TimePoint now);
 
     void send(LinkHandle link, const NodeMessage &message);
 
-    // The same message on several links, encoded once.
+    // Sends the same message on several links; encodes it only once.
     void sendAll(std::span<const LinkHandle> links, const NodeMessage &message);
 
-    // A message that is encoded already.
+    // Sends a message that is already encoded.
     void sendEncoded(LinkHandle link, const Bytes &message);
 
-    // Bytes that wait to be written on a link.
+    // Bytes that were sent on a link and not yet written to its socket.
     std::size_t buffered(LinkHandle link) const;
 
-    // An established link to a replica, whoever of the two dialled it; 0 without any. A replica with an empty disk knows the
-    // seeds alone and has no other way to answer a leader that is none of them.
+    // Returns an established link to a replica, no matter which end dialled it; 0 if there is none. Accepted links count
+    // because a replica with an empty disk knows only the seeds and could not answer a leader that is not a seed otherwise.
     //
-    // Of several it is the one on which something was heard last, so that a connection that falls silent keeps messages back
-    // for LinkPingInterval instead of LinkTimeout, before a leader steps down.
+    // Prefers the link on which something was received last, so that a connection that stops delivering delays messages for
+    // LinkPingInterval instead of LinkTimeout, and another link is in use before a leader steps down.
     LinkHandle linkTo(ReplicaId replica) const;
 
-    // Established links that peers of this role dialled.
+    // Established links that were dialled by peers of this role.
     std::vector<LinkHandle> acceptedFrom(NodeRole role) const;
 
-    // Whether a link was dialled from here.
+    // Whether this node dialled a link.
     bool isDialled(LinkHandle link) const;
 
-    // Established links that were dialled from here.
+    // Established links that this node dialled.
     std::vector<LinkHandle> dialled() const;
 
-    // Figures of links and of what passed over them.
+    // Writes the metrics of the links and of their traffic.
     void writeMetrics(MetricsText &text) const;
 
-    // Writes a line on what passed over the links, as when the node stops.
+    // Writes a log line with the traffic of the links so far; tick() does so periodically.
     void logTraffic() const;
 
 private:
     struct Link {
-        std::optional<NodeHello> peer; // Once it said hello.
+        std::optional<NodeHello> peer; // Set when the hello is received; the link is established from then on.
         ReplicaId dialledTo{}; // 0: accepted.
-        LinkActivity times;
+        LinkActivity activity;
 
-        // The replica at the other end; 0 if that is a balancer, or has not said hello.
+        // The replica at the other end; 0 if the peer is a balancer or has not sent its hello.
         ReplicaId replica() const
         {
             const bool accepted = value(dialledTo) == 0;
@@ -89,17 +89,17 @@
         }
     };
     struct Dial {
-        LinkHandle up = 0; // The link, once its connection is open.
+        LinkHandle link = 0; // 0 while no connection is open.
         DialSchedule schedule;
     };
     void opened(LinkHandle handle, std::uint64_t tag);
-    void greeted(LinkHandle handle, Link &link, const NodeHello &hello);
+    void handleHello(LinkHandle handle, Link &link, const NodeHello &hello);
     void received(LinkHandle handle, const std::vector<std::uint8_t> &bytes);
     void closed(LinkHandle handle, std::uint64_t tag);
-    void forget(ReplicaId replica, LinkHandle handle);
+    void removeReplicaLink(ReplicaId replica, LinkHandle handle);
     void refuse(LinkHandle handle, std::string_view reason);
     LinkDistance distanceOf(const Link &link) const;
-    void drop(LinkHandle handle);
+    void closeLink(LinkHandle handle);
     void dial(ReplicaId replica, Dial &dial);
     void connected(std::uint64_t tag);
     void failed(std::uint64_t tag, bool connected);
@@ -107,13 +107,13 @@
     NodeHello m_self;
     NodeLinkCallbacks m_callbacks;
     std::map<LinkHandle, Link> m_links;
-    std::map<ReplicaId, std::vector<LinkHandle>> m_replicaLinks; // Established ones, by who is at the other end.
+    std::map<ReplicaId, std::vector<LinkHandle>> m_replicaLinks; // Established links, by the replica at the other end.
     std::map<ReplicaId, Dial> m_dials;
     std::uint16_t m_port = 0;
     LinkActivityClock m_clock;
     LinkTraffic m_traffic;
     TimePoint m_trafficLogDue;
-    std::uint64_t m_refused = 0; // Links closed from here: one too many, or a message that can't be read.
+    std::uint64_t m_refused = 0; // Links closed by this node: above MaxNodeLinks, or after an undecodable message.
     LogBudget m_refusedLog;
     WebsocketHub m_hub;
 };
--- a/src/secure_links.cpp
+++ b/src/secure_links.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Secure links: sessions over the websocket hub.
+// Secure links: authenticated sessions over the websocket hub.
 #include "secure_links.h"
 
 #include "log.h"
@@ -54,8 +54,8 @@
         }
         return;
     }
-    const LinkActivity times{m_clock.now(), m_clock.now()};
-    const auto [at, added] = m_links.emplace(handle, Link{SecureSession(m_key, m_role, m_id, tag != 0), tag, times});
+    const LinkActivity activity{m_clock.now(), m_clock.now()};
+    const auto [at, added] = m_links.emplace(handle, Link{SecureSession(m_key, m_role, m_id, tag != 0), tag, activity});
     m_hub.send(handle, at->second.session.hello());
 }
 
@@ -65,7 +65,7 @@
     if (at == m_links.end()) {
         return;
     }
-    at->second.times.heard = m_clock.now();
+    at->second.activity.lastReceived = m_clock.now();
     SecureSession &session = at->second.session;
     switch (session.receive(bytes)) {
     case SecureSession::Event::SendProof:
@@ -90,10 +90,10 @@
     const std::optional<LinkMessage> message = decodeMessage<LinkMessage>(session.payload());
     if (!message) {
         LogLine(LogLevel::Error, "link-message-unreadable").with("role", static_cast<int>(peer.role)).with("id", peer.id);
-    } else if (dropped(peer)) {
+    } else if (isTrafficDropped(peer)) {
         return;
     } else if (std::holds_alternative<LinkPing>(*message)) {
-        m_links.at(handle).pinged = true;
+        m_links.at(handle).peerPings = true;
     } else {
         m_callbacks.received(handle, peer, *message);
     }
@@ -103,7 +103,7 @@
 {
     const auto at = m_links.find(handle);
     if (at == m_links.end()) {
-        return; // A link that was dropped or refused before.
+        return; // closeLink() has removed the link already, or opened() refused it.
     }
     const Hello peer = at->second.session.peer();
     const bool established = at->second.session.established();
@@ -116,8 +116,8 @@
     }
 }
 
-// Forgets a link at once; its connection may take long to close when the peer is gone.
-void SecureLinks::drop(LinkHandle handle)
+// Removes a link at once and closes its connection, which may take long if the peer is unreachable.
+void SecureLinks::closeLink(LinkHandle handle)
 {
     closed(handle, m_links.at(handle).tag);
     m_hub.close(handle);
@@ -125,20 +125,20 @@
 
 void SecureLinks::tick(TimePoint now)
 {
-    const bool stoodStill = m_clock.turn(now);
-    std::vector<LinkHandle> silent;
+    const bool wasStalled = m_clock.advance(now);
+    std::vector<LinkHandle> timedOut;
     for (auto &[handle, link] : m_links) {
-        if (stoodStill) {
-            link.times.heard = now;
+        if (wasStalled) {
+            link.activity.lastReceived = now;
         }
-        if (link.times.silent(now) && (link.pinged || !link.session.established())) {
-            silent.push_back(handle);
-        } else if (link.session.established() && link.times.pingDue(now)) {
+        if (link.activity.timedOut(now) && (link.peerPings || !link.session.established())) {
+            timedOut.push_back(handle);
+        } else if (link.session.established() && link.activity.pingDue(now)) {
             send(handle, LinkPing{});
         }
     }
-    for (const LinkHandle handle : silent) {
-        drop(handle);
+    for (const LinkHandle handle : timedOut) {
+        closeLink(handle);
     }
 }
 
@@ -157,10 +157,10 @@
 void SecureLinks::send(LinkHandle link, const LinkMessage &message)
 {
     const auto at = m_links.find(link);
-    if (at == m_links.end() || !at->second.session.established() || dropped(at->second.session.peer())) {
+    if (at == m_links.end() || !at->second.session.established() || isTrafficDropped(at->second.session.peer())) {
         return;
     }
-    at->second.times.said = m_clock.now();
+    at->second.activity.lastSent = m_clock.now();
     m_hub.send(link, at->second.session.seal(encodeMessage(message)));
 }
 
@@ -190,13 +190,13 @@
 
 void SecureLinks::dropTraffic(PeerRole role, std::set<std::uint16_t> ids)
 {
-    m_dropped[role] = std::move(ids);
+    m_droppedPeers[role] = std::move(ids);
 }
 
-bool SecureLinks::dropped(const Hello &peer) const
+bool SecureLinks::isTrafficDropped(const Hello &peer) const
 {
-    const auto at = m_dropped.find(peer.role);
-    return at != m_dropped.end() && at->second.contains(peer.id);
+    const auto at = m_droppedPeers.find(peer.role);
+    return at != m_droppedPeers.end() && at->second.contains(peer.id);
 }
 
 std::uint64_t SecureLinks::bytesSent() const
--- a/src/secure_links.h
+++ b/src/secure_links.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Secure links: authenticated message links to named peers, dialled again whenever they break.
+// Secure links: authenticated message links to peers at configured addresses, dialled again whenever they break.
 #pragma once
 
 #include "link_message.h"
@@ -15,10 +15,10 @@
 
 namespace Robinrail {
 
-// A link that broke or could not be made is dialled again after this time.
+// Delay before dialling again after a link broke or an attempt failed.
 inline constexpr std::chrono::milliseconds RedialDelay{200};
 
-// Most links that are open at once.
+// Maximum number of open links.
 inline constexpr std::size_t MaxLinks = 1024;
 
 struct SecureLinkCallbacks {
@@ -34,49 +34,52 @@
 
     bool listen(Endpoint endpoint);
 
-    // Keeps a link to an address up from now on.
+    // Maintains a link to an address from now on.
     void maintain(Endpoint endpoint);
 
-    // Pings and closes silent links. Call it every 100 ms or so.
+    // Sends pings and closes silent links. To be called about every 100 ms.
     void tick(TimePoint now);
 
     void send(LinkHandle link, const LinkMessage &message);
 
-    // Links on which a peer is reached: those that were dialled from here, else those that it dialled. A replica that moved
-    // to another address is dialled by nobody until all settings name that, and could else never be taken in.
+    // Established links to a peer: those that this node dialled or, if there are none, those that the peer dialled. A replica
+    // that moved to another address is dialled by no node until all settings contain that address; until then only the
+    // links that it dials itself reach it, and it needs them to join.
     std::vector<LinkHandle> linksTo(PeerRole role, std::uint16_t id) const;
     std::vector<LinkHandle> links(PeerRole role) const;
 
-    // For tests of failures: messages from and to these peers of a role are dropped.
+    // Fault injection for tests: drops messages from and to these peers of a role.
     void dropTraffic(PeerRole role, std::set<std::uint16_t> ids);
 
     std::uint64_t bytesSent() const;
+
+    // Number of links closed after a malformed or unauthenticated message.
     std::uint64_t rejected() const;
 
 private:
     struct Link {
         SecureSession session;
-        std::uint64_t tag = 0; // Of the maintained address that was dialled; 0: accepted.
-        LinkActivity times;
-        bool pinged = false; // By the peer: earlier releases do not ping, so that their silence says nothing.
+        std::uint64_t tag = 0; // Index + 1 of the dialled address in m_maintained; 0: accepted.
+        LinkActivity activity;
+        bool peerPings = false; // Whether the peer has sent a ping. Earlier releases send none, so their silence is no fault.
     };
     void opened(LinkHandle handle, std::uint64_t tag);
     void received(LinkHandle handle, const std::vector<std::uint8_t> &bytes);
     void deliver(LinkHandle handle, const SecureSession &session);
     void closed(LinkHandle handle, std::uint64_t tag);
-    void drop(LinkHandle handle);
+    void closeLink(LinkHandle handle);
     void redial(std::uint64_t tag);
-    bool dropped(const Hello &peer) const;
+    bool isTrafficDropped(const Hello &peer) const;
 
     boost::asio::io_context &m_io;
     ClusterKey m_key;
     PeerRole m_role;
     std::uint16_t m_id;
     SecureLinkCallbacks m_callbacks;
-    std::vector<Endpoint> m_maintained; // By tag - 1.
+    std::vector<Endpoint> m_maintained; // Indexed by tag - 1, like m_timers.
     std::vector<std::unique_ptr<boost::asio::steady_timer>> m_timers;
     std::map<LinkHandle, Link> m_links;
-    std::map<PeerRole, std::set<std::uint16_t>> m_dropped;
+    std::map<PeerRole, std::set<std::uint16_t>> m_droppedPeers;
     std::uint64_t m_rejected = 0;
     LinkActivityClock m_clock;
     WebsocketHub m_hub;
--- a/src/secure_session.cpp
+++ b/src/secure_session.cpp
@@ -21,14 +21,14 @@
     : m_key(key)
     , m_dialled(dialled)
 {
-    m_own.role = role;
-    m_own.id = id;
-    randombytes_buf(m_own.nonce.data(), m_own.nonce.size());
+    m_localHello.role = role;
+    m_localHello.id = id;
+    randombytes_buf(m_localHello.nonce.data(), m_localHello.nonce.size());
 }
 
 Bytes SecureSession::hello() const
 {
-    return encodeMessage(std::variant<Hello>(m_own));
+    return encodeMessage(std::variant<Hello>(m_localHello));
 }
 
 SecureSession::Event SecureSession::receive(BytesView message)
@@ -103,15 +103,16 @@
 
 const Hello &SecureSession::peer() const
 {
-    static const Hello Nobody;
-    return m_peer ? *m_peer : Nobody;
+    static const Hello UnknownPeer;
+    return m_peer ? *m_peer : UnknownPeer;
 }
 
-// Both identities go into the key, so that neither end can be taken for another.
+// Derives the key of one direction from both hellos, so that the keys are bound to both identities and neither end can be
+// impersonated.
 ClusterKey SecureSession::directionKey(bool fromDialler) const
 {
-    const Hello &dialler = m_dialled ? m_own : *m_peer;
-    const Hello &acceptor = m_dialled ? *m_peer : m_own;
+    const Hello &dialler = m_dialled ? m_localHello : *m_peer;
+    const Hello &acceptor = m_dialled ? *m_peer : m_localHello;
     Bytes material = encodeMessage(std::variant<Hello>(dialler));
     const Bytes other = encodeMessage(std::variant<Hello>(acceptor));
     material.insert(material.end(), other.begin(), other.end());
--- a/src/secure_session.h
+++ b/src/secure_session.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Secure session: proves on each link that both ends hold the cluster key, and seals what they say.
+// Secure session: mutual authentication of a link by the cluster key, and authentication of its messages.
 //
 // Both ends send a hello with a fresh nonce, derive one key for each direction from the cluster key and
-// both nonces (keyed BLAKE2b), and send an empty sealed frame as proof. Frames are numbered, so nothing
-// can be replayed, reordered or moved to another link. Contents are authenticated, not hidden.
+// both hellos (keyed BLAKE2b), and send an empty sealed frame as proof that they hold the cluster key. Frames are
+// numbered, so they cannot be replayed, reordered or moved to another link. They are authenticated, not encrypted.
 #pragma once
 
 #include "codec.h"
@@ -33,26 +33,28 @@
 class SecureSession
 {
 public:
-    // `dialled` tells which end opened the connection.
+    // `dialled`: whether this end opened the connection.
     SecureSession(const ClusterKey &key, PeerRole role, std::uint16_t id, bool dialled);
 
-    // The first message to send.
+    // The first message to send on the connection.
     Bytes hello() const;
 
     enum class Event : std::uint8_t {
-        SendProof, // Send proof() now.
-        Established,
-        Payload, // payload() has a message.
-        Failed, // Close the link; say nothing more.
+        SendProof, // The peer's hello was received: send proof().
+        Established, // The peer has proved that it holds the cluster key.
+        Payload, // payload() returns the message received.
+        Failed, // Malformed or not authentic: close the link without an answer.
     };
     Event receive(BytesView message);
 
     Bytes proof();
+
+    // Encodes a frame: counter, payload and MAC.
     Bytes seal(BytesView payload);
     const Bytes &payload() const;
     bool established() const;
 
-    // Who is at the other end; proven once the session is established.
+    // Identity of the other end, as it claims; authenticated once the session is established.
     const Hello &peer() const;
 
 private:
@@ -64,7 +66,7 @@
 
     ClusterKey m_key;
     bool m_dialled;
-    Hello m_own;
+    Hello m_localHello;
     std::optional<Hello> m_peer;
     ClusterKey m_sendKey{};
     ClusterKey m_receiveKey{};
--- a/src/websocket_hub.h
+++ b/src/websocket_hub.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Websocket hub: message links over websocketpp, behind an interface that C++17 and C++20 share.
+// Websocket hub: message links over websocketpp, behind an interface that is valid C++17 and C++20.
 //
-// websocketpp 0.8.2 does not compile as C++20 with g++ 12, so websocket_hub.cpp is the one C++17 unit
-// and this header uses nothing newer.
+// websocketpp 0.8.2 does not compile as C++20 with g++ 12, so websocket_hub.cpp is the only translation unit that is
+// compiled as C++17, and this header uses no later features.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,16 +15,16 @@
 
 namespace Robinrail {
 
-// One open connection of a hub; never reused.
+// Identifies an open connection of a hub; never 0 and never reused.
 using LinkHandle = std::uint64_t;
 
-// What a hub tells its owner. `tag` is what connect() was given, 0 for an accepted connection.
+// Notifications to the owner of a hub. `tag` is the argument of connect(), or 0 for an accepted connection.
 struct WebsocketCallbacks {
     std::function<void(LinkHandle, std::uint64_t tag)> opened;
     std::function<void(LinkHandle, const std::vector<std::uint8_t> &)> received;
     std::function<void(LinkHandle, std::uint64_t tag)> closed;
-    std::function<void(std::uint64_t tag)> connected; // The peer's machine answered; its handshake begins.
-    std::function<void(std::uint64_t tag, bool connected)> failed; // A connect that never opened.
+    std::function<void(std::uint64_t tag)> connected; // The TCP connection is established; the handshake begins.
+    std::function<void(std::uint64_t tag, bool connected)> failed; // An attempt failed, after `connected` or before it.
 };
 
 class WebsocketHub
@@ -42,15 +42,15 @@
     void send(LinkHandle link, const std::vector<std::uint8_t> &message);
     void close(LinkHandle link);
 
-    // Bytes that were sent on a link and wait to be written.
+    // Bytes that were sent on a link and not yet written to its socket.
     std::size_t buffered(LinkHandle link) const;
 
-    // Bytes sent so far, headers left out.
+    // Total bytes of messages sent so far, without websocket headers.
     std::uint64_t bytesSent() const;
 
 private:
-    struct Private;
-    std::unique_ptr<Private> m_private;
+    struct Impl;
+    std::unique_ptr<Impl> m_impl;
 };
 
 } // namespace Robinrail
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -103,17 +103,17 @@
     'return now < seen;' '*forgotten once its flows*'
 mutate "steering: messages of other clusters are taken" src/replica_driver.cpp \
     'if (cluster != 0 && envelope.cluster != cluster) {' 'if (cluster != 0 && envelope.cluster == 0) {' '*joins the first cluster*'
-mutate "links: any number of handshakes at once" src/dial_schedule.h 'm_handshakes < MaxConcurrentHandshakes ||' 'm_handshakes >= 0 ||' \
+mutate "links: any number of handshakes at once" src/dial_schedule.h 'm_pendingHandshakes < MaxConcurrentHandshakes ||' 'm_pendingHandshakes >= 0 ||' \
     '*few attempts at once*,*two handshakes at once*'
-mutate "links: handshakes without an end are remembered" src/dial_schedule.h '|| now - m_lastHandshake >= HandshakeExpiry);' ');' \
+mutate "links: handshakes without an end are remembered" src/dial_schedule.h '|| now - m_lastHandshakeStart >= HandshakeExpiry);' ');' \
     '*few attempts at once*,*two handshakes at once*'
-mutate "links: a dark peer keeps the next attempt back" src/dial_schedule.h 'm_due = now + std::min(' 'm_due = now + 8 * std::min(' '*within 50 ms*'
+mutate "links: a peer that is down delays the next attempt" src/dial_schedule.h 'm_nextAttempt = now + std::min(' 'm_nextAttempt = now + 8 * std::min(' '*within 50 ms*'
 mutate "links: answers go on dialled links alone" src/node_links.cpp 'if (const ReplicaId replica = link.replica(); value(replica) != 0) {' \
     'if (const ReplicaId replica = link.dialledTo; value(replica) != 0) {' '*first append is lost*'
-mutate "links: the dialled link is taken, silent or not" src/node_links.cpp 'return std::pair(link.times.heard, value(link.dialledTo));' \
-    'return std::pair(value(link.dialledTo), link.times.heard);' '*the one that fell silent*'
-mutate "links: secure links may fall silent for good" src/secure_links.cpp 'link.times.silent(now) && (link.pinged' \
-    'link.times.silent(now) && (link.tag == ~std::uint64_t{0}' '*secure link that falls silent*'
+mutate "links: the dialled link is taken, silent or not" src/node_links.cpp 'return std::pair(link.activity.lastReceived, value(link.dialledTo));' \
+    'return std::pair(value(link.dialledTo), link.activity.lastReceived);' '*the one that fell silent*'
+mutate "links: secure links may fall silent for good" src/secure_links.cpp 'link.activity.timedOut(now) && (link.peerPings' \
+    'link.activity.timedOut(now) && (link.tag == ~std::uint64_t{0}' '*secure link that falls silent*'
 mutate "links: every connection is closed after its answer" src/http.cpp \
     'm_response.keep_alive(m_parser->get().keep_alive() && !reply.last);' 'm_response.keep_alive(false);' '*keeps its connection*'
 mutate "links: the longest open connection is closed, busy or not" src/http.cpp 'if (connection->closeIfUnused()) {' \
--- a/tests/test_link_traffic.cpp
+++ b/tests/test_link_traffic.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Link traffic: what passed over a node's links, told apart by kind, direction and distance.
+// Link traffic: counters of messages and bytes by kind, direction and distance.
 #include "link_traffic.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
     return encodeMessage(NodeMessage(NodePing{}));
 }
 
-Bytes heardMessage()
+Bytes targetsHeardMessage()
 {
     return encodeMessage(NodeMessage(TargetsHeard{{TargetKey{1}, TargetKey{2}}, {}}));
 }
@@ -24,7 +24,7 @@
 {
     LinkTraffic traffic;
     const Bytes ping = pingMessage();
-    const Bytes heard = heardMessage();
+    const Bytes heard = targetsHeardMessage();
     traffic.count(LinkDirection::Sent, LinkDistance::SameDataCentre, ping);
     traffic.count(LinkDirection::Sent, LinkDistance::OtherDataCentre, heard);
     traffic.count(LinkDirection::Sent, LinkDistance::OtherDataCentre, heard);
@@ -37,16 +37,16 @@
 
     MetricsText text;
     traffic.writeMetrics(text);
-    const std::string figures = text.text();
-    const auto has = [&figures](const std::string &line) {
-        return figures.find(line + '\n') != std::string::npos;
+    const std::string metrics = text.text();
+    const auto has = [&metrics](const std::string &line) {
+        return metrics.find(line + '\n') != std::string::npos;
     };
     CHECK(has(R"(robinrail_link_messages_total{message="targets-heard",direction="sent",distance="far"} 2)"));
     CHECK(has(R"(robinrail_link_messages_total{message="targets-heard",direction="received",distance="far"} 0)"));
     CHECK(has(R"(robinrail_link_message_bytes_total{message="ping",direction="received",distance="far"} )" + std::to_string(ping.size())));
 }
 
-TEST_CASE("bytes that are no message of a known kind are not counted as one")
+TEST_CASE("bytes that are not a message of a known kind are not counted")
 {
     LinkTraffic traffic;
     const auto unknown = static_cast<std::uint8_t>(std::variant_size_v<NodeMessage>);
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Links: connections of the HTTP server and of the links between nodes, over loopback.
+// Links: connections of the HTTP server and links between nodes, over loopback.
 #include "fault_proxy.h"
 #include "http.h"
 #include "net.h"
@@ -21,13 +21,13 @@
 
 constexpr std::uint32_t Loopback = 0x7f000001;
 
-// A free port, found by binding one and giving it back.
+// Finds a free port by binding one and releasing it.
 std::uint16_t freePort(boost::asio::io_context &io)
 {
     return Tcp::acceptor(io, {boost::asio::ip::address_v4(Loopback), 0}).local_endpoint().port();
 }
 
-// A client's connection that collects what comes.
+// A client connection that collects the bytes received.
 struct Client {
     explicit Client(boost::asio::io_context &io, std::uint16_t port)
         : socket(io)
@@ -47,7 +47,7 @@
         });
     }
 
-    void ask(const std::string &path, const std::string &header = {})
+    void get(const std::string &path, const std::string &header = {})
     {
         boost::asio::write(socket, boost::asio::buffer("GET " + path + " HTTP/1.1\r\nHost: r\r\n" + header + "\r\n"));
     }
@@ -65,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE("a client that keeps its connection is answered on it again, one that does not is hung up on")
+TEST_CASE("an HTTP client that keeps its connection gets several answers on it, and Connection: close ends it after the answer")
 {
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
@@ -75,58 +75,58 @@
     REQUIRE(server.listen({Loopback, port}));
     Client client(io, port);
     for (const std::string path : {"/one", "/two", "/three"}) {
-        client.ask(path);
+        client.get(path);
         while (!client.closed && !endsWith(client.text, "at " + path)) {
             io.run_one();
         }
         REQUIRE_FALSE(client.closed);
     }
-    client.ask("/last", "Connection: close\r\n");
+    client.get("/last", "Connection: close\r\n");
     while (!client.closed) {
         io.run_one();
     }
     CHECK(endsWith(client.text, "at /last"));
 }
 
-TEST_CASE("a flood of connections closes those that rested longest, none with an answer due, and no more than are allowed")
+TEST_CASE("a flood of connections closes those that were idle longest, none with a pending answer, and stays within the limit")
 {
-    constexpr std::size_t Most = 8;
+    constexpr std::size_t MaxConnections = 8;
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
-    std::vector<HttpRespond> due;
+    std::vector<HttpRespond> pending;
     HttpServer server(
         io,
-        [&due](const HttpRequest &request, const HttpRespond &respond) {
-            request.path == "/slow" ? due.push_back(respond) : respond({200, "text/plain", "at " + request.path, {}});
+        [&pending](const HttpRequest &request, const HttpRespond &respond) {
+            request.path == "/slow" ? pending.push_back(respond) : respond({200, "text/plain", "at " + request.path, {}});
         },
-        Most);
+        MaxConnections);
     REQUIRE(server.listen({Loopback, port}));
     Client waiting(io, port);
-    waiting.ask("/slow");
-    while (due.empty()) {
+    waiting.get("/slow");
+    while (pending.empty()) {
         io.run_one();
     }
-    std::vector<std::unique_ptr<Client>> flood;
-    for (std::size_t i = 0; i < 3 * Most; ++i) {
-        flood.push_back(std::make_unique<Client>(io, port));
-        flood.back()->ask("/one");
-        while (!endsWith(flood.back()->text, "at /one")) {
+    std::vector<std::unique_ptr<Client>> clients;
+    for (std::size_t i = 0; i < 3 * MaxConnections; ++i) {
+        clients.push_back(std::make_unique<Client>(io, port));
+        clients.back()->get("/one");
+        while (!endsWith(clients.back()->text, "at /one")) {
             io.run_one();
         }
-        CHECK(server.connections() <= Most);
+        CHECK(server.connections() <= MaxConnections);
     }
-    while (!flood.front()->closed) {
+    while (!clients.front()->closed) {
         io.run_one();
     }
-    CHECK_FALSE(flood.back()->closed);
-    due.front()({200, "text/plain", "at last", {}});
+    CHECK_FALSE(clients.back()->closed);
+    pending.front()({200, "text/plain", "at last", {}});
     while (!endsWith(waiting.text, "at last")) {
         io.run_one();
     }
     CHECK_FALSE(waiting.closed);
 }
 
-TEST_CASE("a client that is sent elsewhere is hung up on behind its answer")
+TEST_CASE("the connection of a client that is redirected is closed after the answer")
 {
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
@@ -137,7 +137,7 @@
     });
     REQUIRE(server.listen({Loopback, port}));
     Client client(io, port);
-    client.ask("/one");
+    client.get("/one");
     while (!client.closed) {
         io.run_one();
     }
@@ -145,13 +145,13 @@
     CHECK(server.connections() == 0);
 }
 
-TEST_CASE("a replica that accepts connections and says nothing is dialled by few attempts at once")
+TEST_CASE("a replica that accepts connections but sends nothing gets few attempts at once")
 {
     boost::asio::io_context io;
-    Tcp::acceptor mute(io, {boost::asio::ip::address_v4(Loopback), 0});
+    Tcp::acceptor acceptor(io, {boost::asio::ip::address_v4(Loopback), 0});
     std::vector<Tcp::socket> accepted;
     std::function<void()> accept = [&] {
-        mute.async_accept([&](const boost::system::error_code &error, Tcp::socket socket) {
+        acceptor.async_accept([&](const boost::system::error_code &error, Tcp::socket socket) {
             if (!error) {
                 accepted.push_back(std::move(socket));
                 accept();
@@ -160,9 +160,9 @@
     };
     accept();
     NodeLinks links(io, {NodeRole::Balancer, ReplicaId{0}, DataCentreId{1}}, {[](auto...) {}, [](auto...) {}, [](auto...) {}, [](auto...) {}});
-    links.maintain({ReplicaId{Loopback}}, mute.local_endpoint().port());
+    links.maintain({ReplicaId{Loopback}}, acceptor.local_endpoint().port());
     TimePoint now = monotonicNow();
-    // The opening request on a connection shows that its dialler knows of the answer.
+    // Once the websocket request has arrived, the dialler has noticed that the connection was accepted.
     for (std::size_t i = 1; i <= MaxConcurrentHandshakes; ++i) {
         now += InitialDialInterval;
         links.tick(now);
@@ -176,7 +176,7 @@
         io.poll();
     }
     CHECK(accepted.size() == MaxConcurrentHandshakes);
-    // Attempts whose end nobody told are forgotten in time, so that dialling never stops.
+    // Handshakes that never end stop counting after HandshakeExpiry, so that dialling goes on.
     now += HandshakeExpiry;
     links.tick(now);
     while (accepted.size() == MaxConcurrentHandshakes) {
@@ -185,7 +185,7 @@
     CHECK(accepted.size() > MaxConcurrentHandshakes);
 }
 
-TEST_CASE("a replica that dials nobody reaches the one that dialled it, on that one's link")
+TEST_CASE("a replica that dials no peers sends over the link that a peer dialled")
 {
     constexpr ReplicaId Dialled{Loopback};
     constexpr ReplicaId Dialler{Loopback + 1};
@@ -214,29 +214,29 @@
     }
 }
 
-// A connection can fall silent for good while others work. The bound is the time after which a leader that heard nothing from
-// a majority steps down: consensus must be back on a working link before.
-TEST_CASE("of two links to a replica the one that fell silent is left before a leader would give up")
+// One connection can stop delivering for good while others work. Raft messages must use a working link again within the time
+// after which a leader without contact to a majority steps down.
+TEST_CASE("of two links to a replica the one that fell silent is no longer used before a leader would step down")
 {
     constexpr ReplicaId Near{Loopback};
     constexpr ReplicaId Far{Loopback + 1};
     constexpr Duration Tick = milliseconds(25);
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
-    const std::uint16_t farListens = freePort(io);
-    Soak::FaultProxy proxy(io, {value(Far), port}, {value(Far), farListens});
-    bool asked = false;
+    const std::uint16_t farListenPort = freePort(io);
+    Soak::FaultProxy proxy(io, {value(Far), port}, {value(Far), farListenPort});
+    bool requestReceived = false;
     NodeLinks near(io, {NodeRole::Replica, Near, DataCentreId{1}}, {[](auto...) {}, [](auto...) {}, [](auto...) {}, [](auto...) {}});
-    const auto received = [&asked](LinkHandle, const NodeHello &, const NodeMessage &message) {
-        asked = std::holds_alternative<RoutingRequest>(message);
+    const auto received = [&requestReceived](LinkHandle, const NodeHello &, const NodeMessage &message) {
+        requestReceived = std::holds_alternative<RoutingRequest>(message);
     };
     NodeLinks far(io, {NodeRole::Replica, Far, DataCentreId{1}}, {[](auto...) {}, [](auto...) {}, received, [](auto...) {}});
     REQUIRE(near.listen({value(Near), port}));
-    REQUIRE(far.listen({value(Far), farListens}));
+    REQUIRE(far.listen({value(Far), farListenPort}));
     near.maintain({Far}, port);
     far.maintain({Near}, port);
     TimePoint now = monotonicNow();
-    const auto pass = [&](Duration duration) {
+    const auto advance = [&](Duration duration) {
         for (const TimePoint end = now + duration; now < end;) {
             now += Tick;
             near.tick(now);
@@ -245,37 +245,37 @@
         }
     };
     while (near.dialled().empty() || far.dialled().empty() || near.acceptedFrom(NodeRole::Replica).empty()) {
-        pass(Tick);
+        advance(Tick);
     }
-    pass(LinkPingInterval);
+    advance(LinkPingInterval);
     const LinkHandle silent = near.dialled().front();
     proxy.setFault(Soak::LinkFault::OpenSilent, {});
-    const TimePoint fell = now;
-    while (near.linkTo(Far) == silent && now - fell < LinkTimeout * 2) {
-        pass(Tick);
+    const TimePoint silencedAt = now;
+    while (near.linkTo(Far) == silent && now - silencedAt < LinkTimeout * 2) {
+        advance(Tick);
     }
-    CHECK(now - fell < ElectionTimeout * 2);
+    CHECK(now - silencedAt < ElectionTimeout * 2);
     near.send(near.linkTo(Far), RoutingRequest{});
-    for (int i = 0; i < 1000 && !asked; ++i) {
+    for (int i = 0; i < 1000 && !requestReceived; ++i) {
         io.poll();
     }
-    CHECK(asked);
+    CHECK(requestReceived);
 }
 
-// Without a reset nothing ever ends such a connection, and a replica dials an address once: what is said to it is lost, for
-// as long as the kernel tries to deliver it.
-TEST_CASE("a secure link that falls silent for good is closed and dialled anew")
+// Without a reset such a connection stays open, and only one connection to an address is dialled: messages on it are lost for
+// as long as the kernel retransmits.
+TEST_CASE("a secure link that falls silent for good is closed and dialled again")
 {
     constexpr std::uint16_t Dialler = 1;
     constexpr std::uint16_t Dialled = 2;
     constexpr Duration Tick = milliseconds(25);
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
-    const std::uint16_t listens = freePort(io);
-    Soak::FaultProxy proxy(io, {Loopback, port}, {Loopback, listens});
+    const std::uint16_t listenPort = freePort(io);
+    Soak::FaultProxy proxy(io, {Loopback, port}, {Loopback, listenPort});
     int established = 0;
     int closed = 0;
-    bool reported = false;
+    bool reportReceived = false;
     SecureLinkCallbacks atDialler;
     atDialler.established = [&established](auto...) {
         ++established;
@@ -285,15 +285,15 @@
         ++closed;
     };
     SecureLinkCallbacks atDialled{[](auto...) {}, {}, [](auto...) {}};
-    atDialled.received = [&reported](LinkHandle, const Hello &peer, const LinkMessage &message) {
-        reported = peer.id == Dialler && std::holds_alternative<VersionReport>(message);
+    atDialled.received = [&reportReceived](LinkHandle, const Hello &peer, const LinkMessage &message) {
+        reportReceived = peer.id == Dialler && std::holds_alternative<VersionReport>(message);
     };
     SecureLinks dialler(io, ClusterKey{}, PeerRole::Balancer, Dialler, atDialler);
     SecureLinks dialled(io, ClusterKey{}, PeerRole::Control, Dialled, atDialled);
-    REQUIRE(dialled.listen({Loopback, listens}));
+    REQUIRE(dialled.listen({Loopback, listenPort}));
     dialler.maintain({Loopback, port});
     TimePoint now = monotonicNow();
-    const auto passUntil = [&](const auto &condition) {
+    const auto advanceUntil = [&](const auto &condition) {
         for (const TimePoint end = now + seconds(60); now < end && !condition();) {
             now += Tick;
             dialler.tick(now);
@@ -303,29 +303,29 @@
         }
         return condition();
     };
-    REQUIRE(passUntil([&] {
+    REQUIRE(advanceUntil([&] {
         return established == 1 && !dialled.linksTo(PeerRole::Balancer, Dialler).empty();
     }));
-    const TimePoint up = now;
-    passUntil([&] {
-        return now - up >= LinkPingInterval * 2;
+    const TimePoint establishedAt = now;
+    advanceUntil([&] {
+        return now - establishedAt >= LinkPingInterval * 2;
     });
     proxy.setFault(Soak::LinkFault::OpenSilent, {});
-    const TimePoint fell = now;
-    REQUIRE(passUntil([&] {
+    const TimePoint silencedAt = now;
+    REQUIRE(advanceUntil([&] {
         return closed == 1;
     }));
-    CHECK(now - fell <= LinkTimeout + LinkPingInterval);
-    REQUIRE(passUntil([&] {
+    CHECK(now - silencedAt <= LinkTimeout + LinkPingInterval);
+    REQUIRE(advanceUntil([&] {
         return established == 2;
     }));
     dialler.send(dialler.linksTo(PeerRole::Control, Dialled).front(), VersionReport{});
-    CHECK(passUntil([&reported] {
-        return reported;
+    CHECK(advanceUntil([&reportReceived] {
+        return reportReceived;
     }));
 }
 
-TEST_CASE("a replica that is not reached is news once, and so is that it is reached again, while each lost message counts")
+TEST_CASE("a replica is reported once when it becomes unreachable and once when it is reachable again, and every lost message is counted")
 {
     constexpr ReplicaId Peer{7};
     ReachWatch watch;
@@ -338,20 +338,20 @@
     CHECK(watch.unsent() == 3);
 }
 
-TEST_CASE("a peer that comes back at any moment of the first half second is dialled within 50 ms")
+TEST_CASE("a peer that comes back at any time in the first half second is dialled within 50 ms")
 {
     DialSchedule schedule;
     TimePoint now{};
-    TimePoint before = now;
-    // The peer is dark: no attempt ends, and none keeps the next one back.
+    TimePoint previousAttempt = now;
+    // The peer is down: no attempt ends, and none delays the next one.
     for (; now < TimePoint{} + milliseconds(500); now += milliseconds(5)) {
         if (schedule.due(now)) {
-            CHECK(now - before <= InitialDialInterval);
-            before = now;
+            CHECK(now - previousAttempt <= InitialDialInterval);
+            previousAttempt = now;
             schedule.attemptStarted(now);
         }
     }
-    // One that stays dark is dialled ever more rarely.
+    // The intervals grow while the peer stays down.
     int attempts = 0;
     for (; now < TimePoint{} + seconds(60); now += milliseconds(5)) {
         if (schedule.due(now)) {
@@ -365,7 +365,7 @@
     CHECK(schedule.due(now + InitialDialInterval));
 }
 
-TEST_CASE("a peer that answers slowly gets two handshakes at once, and more once those are over or forgotten")
+TEST_CASE("a peer that answers slowly gets two handshakes at once, and further ones when those have ended or expired")
 {
     DialSchedule schedule;
     TimePoint now{};
