--- a/src/datagram_guard.cpp
+++ b/src/datagram_guard.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Datagram guard: SipHash-2-4 with a key derived from the cluster key.
+// Datagram authentication: SipHash-2-4 with a key derived from the cluster key.
 #include "datagram_guard.h"
 
 #include <sodium.h>
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::string_view Purpose = "robinrail-datagram-v1";
+constexpr std::string_view KeyDerivationContext = "robinrail-datagram-v1";
 constexpr std::size_t SenderSize = 2;
-constexpr std::size_t NumberSize = 6;
-constexpr std::size_t HeaderSize = SenderSize + 2 * NumberSize;
+constexpr std::size_t Uint48Size = 6;
+constexpr std::size_t HeaderSize = SenderSize + 2 * Uint48Size;
 constexpr std::size_t MacSize = 8;
 static_assert(HeaderSize + MacSize == DatagramAuthOverhead);
 static_assert(MacSize == crypto_shorthash_siphash24_BYTES);
@@ -45,8 +45,8 @@
         if (number - m_highest >= Size) {
             m_seen.reset();
         } else {
-            for (std::uint64_t passed = m_highest + 1; passed <= number; ++passed) {
-                m_seen.reset(passed % Size);
+            for (std::uint64_t skipped = m_highest + 1; skipped <= number; ++skipped) {
+                m_seen.reset(skipped % Size);
             }
         }
         m_highest = number;
@@ -61,7 +61,8 @@
 DatagramAuthenticator::DatagramAuthenticator(const ClusterKey &key, BalancerKey self)
     : m_self(self)
 {
-    crypto_generichash(m_key.data(), m_key.size(), reinterpret_cast<const unsigned char *>(Purpose.data()), Purpose.size(), key.data(), key.size());
+    crypto_generichash(
+        m_key.data(), m_key.size(), reinterpret_cast<const unsigned char *>(KeyDerivationContext.data()), KeyDerivationContext.size(), key.data(), key.size());
 }
 
 Bytes DatagramAuthenticator::seal(BytesView payload)
@@ -69,8 +70,8 @@
     Bytes bytes;
     bytes.reserve(payload.size() + DatagramAuthOverhead);
     appendInteger(bytes, value(m_self.id), SenderSize);
-    appendInteger(bytes, value(m_self.incarnation), NumberSize);
-    appendInteger(bytes, ++m_sent, NumberSize);
+    appendInteger(bytes, value(m_self.incarnation), Uint48Size);
+    appendInteger(bytes, ++m_sent, Uint48Size);
     bytes.insert(bytes.end(), payload.begin(), payload.end());
     std::array<std::uint8_t, MacSize> mac{};
     crypto_shorthash_siphash24(mac.data(), bytes.data(), bytes.size(), m_key.data());
@@ -91,8 +92,8 @@
     }
     AuthenticatedDatagram opened;
     opened.sender.id = BalancerId{static_cast<std::uint16_t>(readInteger(content.first(SenderSize)))};
-    opened.sender.incarnation = Incarnation{readInteger(content.subspan(SenderSize, NumberSize))};
-    const std::uint64_t number = readInteger(content.subspan(SenderSize + NumberSize, NumberSize));
+    opened.sender.incarnation = Incarnation{readInteger(content.subspan(SenderSize, Uint48Size))};
+    const std::uint64_t number = readInteger(content.subspan(SenderSize + Uint48Size, Uint48Size));
     opened.payload = content.subspan(HeaderSize);
     Sender &sender = m_senders[opened.sender.id];
     if (opened.sender.incarnation < sender.incarnation) {
--- a/src/datagram_guard.h
+++ b/src/datagram_guard.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Datagram guard: authenticates datagrams between balancers and drops replayed ones.
+// Datagram authentication between balancers, with protection against replay.
 #pragma once
 
 #include "connection_id.h"
@@ -11,20 +11,20 @@
 
 namespace Robinrail {
 
-// Bytes that the guard adds to a datagram: sender (2), incarnation (6), number (6) and MAC (8). The
-// incarnation is in milliseconds and the number counts datagrams, so 48 bits last for thousands of years.
+// Bytes added to each datagram: sender (2), incarnation (6), sequence number (6) and MAC (8). The
+// incarnation is in milliseconds and the sequence number counts datagrams, so 48 bits last for thousands of years.
 inline constexpr std::size_t DatagramAuthOverhead = 2 + 6 + 6 + 8;
 
-// Numbers a sender's datagrams and accepts each number once, within a window for reordering.
+// Sliding window over the sequence numbers of one sender: accepts each number once, in any order within the window.
 class ReplayWindow
 {
 public:
-    // Whether the number is new; takes it.
+    // Marks a sequence number as seen. Returns false if it was seen before or is older than the window.
     bool accept(std::uint64_t number);
 
 private:
     static constexpr std::size_t Size = 4096;
-    std::bitset<Size> m_seen; // By number modulo Size.
+    std::bitset<Size> m_seen; // Indexed by sequence number modulo Size.
     std::uint64_t m_highest = 0;
 };
 
@@ -33,9 +33,11 @@
 public:
     DatagramAuthenticator(const ClusterKey &key, BalancerKey self);
 
+    // Adds the header and the MAC to a payload.
     Bytes seal(BytesView payload);
 
-    // The sender and payload of a sound, new datagram of a run that is not older than one seen before.
+    // Verifies a datagram. Returns no value if the MAC is wrong, if the datagram is a replay, or if it was sent by an earlier
+    // incarnation than one already seen from this sender.
     struct AuthenticatedDatagram {
         BalancerKey sender;
         BytesView payload;
--- a/src/event.cpp
+++ b/src/event.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Events: names.
+// Events: names in logs and metrics.
 #include "event.h"
 
 #include <array>
@@ -9,9 +9,9 @@
 namespace {
 
 template<std::size_t N, typename Enum>
-std::string_view pick(const std::array<std::string_view, N> &names, Enum entry)
+std::string_view nameAt(const std::array<std::string_view, N> &names, Enum enumerator)
 {
-    const auto index = static_cast<std::size_t>(entry);
+    const auto index = static_cast<std::size_t>(enumerator);
     return index < N ? names[index] : std::string_view("unknown");
 }
 
@@ -24,7 +24,7 @@
         "request-queued",  "request-sent", "request-offloaded", "request-retried", "request-answered", "request-refused", "target-joined",
         "target-draining", "target-lost",  "peer-joined",       "peer-stopping",   "peer-gone",        "packet-rejected", "bundle-applied",
     };
-    return pick(Names, kind);
+    return nameAt(Names, kind);
 }
 
 std::string_view nameOf(RejectReason reason)
@@ -39,13 +39,13 @@
         "too-many-hops",
         "unknown-sender",
     };
-    return pick(Names, reason);
+    return nameAt(Names, reason);
 }
 
 std::string_view nameOf(Outcome outcome)
 {
     static constexpr std::array<std::string_view, 4> Names = {"answered", "not-run", "outcome-unknown", "deadline-passed"};
-    return pick(Names, outcome);
+    return nameAt(Names, outcome);
 }
 
 std::string_view nameOf(RefusalReason reason)
@@ -60,7 +60,7 @@
         "cancelled",
         "bad-request",
     };
-    return pick(Names, reason);
+    return nameAt(Names, reason);
 }
 
 } // namespace Robinrail
--- a/src/event.h
+++ b/src/event.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Events: what each mechanism did, for operators who watch it and for the log.
+// Events: trace of what the balancer did, for the administration API and the log.
 #pragma once
 
 #include "message.h"
@@ -32,7 +32,7 @@
     BundleApplied,
 };
 
-// One event. Numbers that do not apply are 0.
+// One event. Members that do not apply are 0.
 struct Event {
     EventKind kind = EventKind::FlowOpened;
     TimePoint at;
@@ -41,8 +41,8 @@
     RequestId request{};
     TargetId target{};
     BalancerId peer{};
-    Duration took{}; // From the attempt to its whole answer, for RequestAnswered.
-    std::uint8_t detail = 0; // An Outcome for RequestRefused, a RejectReason for PacketRejected.
+    Duration took{}; // RequestAnswered: from the start of the attempt to its complete answer.
+    std::uint8_t detail = 0; // RequestRefused: an Outcome. PacketRejected: a RejectReason.
 };
 
 // Why a packet was dropped.
@@ -59,7 +59,7 @@
 
 inline constexpr std::size_t RejectReasonCount = 8;
 
-// Names for logs and metrics, in lower case with dashes.
+// Names in logs and metrics, in lower case with dashes; "unknown" for a value without a name.
 std::string_view nameOf(EventKind kind);
 std::string_view nameOf(RejectReason reason);
 std::string_view nameOf(Outcome outcome);
--- a/src/lossy_output.h
+++ b/src/lossy_output.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Lossy output: a stream buffer that drops what its reader is too slow for, so that a log never blocks.
+// Non-blocking line buffer: a stream buffer that drops lines if the reader of the descriptor is too slow, so that logging
+// never blocks the process.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +12,10 @@
 class NonBlockingLineBuffer : public std::streambuf
 {
 public:
-    // Writes to an open descriptor, which stays its owner's.
+    // Writes to an open descriptor, without taking ownership of it.
     explicit NonBlockingLineBuffer(int descriptor);
 
-    // Lines that were dropped so far.
+    // Number of lines dropped so far.
     std::uint64_t dropped() const;
 
 protected:
@@ -26,7 +27,7 @@
     void writeLines();
 
     int m_descriptor;
-    std::string m_pending; // The beginning of a line.
+    std::string m_partialLine; // Text that no newline has followed yet.
     std::uint64_t m_dropped = 0;
 };
 
--- a/src/net.h
+++ b/src/net.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Net: conversions between the library's types and Boost.Asio's, and the daemons' clock.
+// Net: conversions between Endpoint and the endpoints of Boost.Asio, and the clock of the daemons.
 #pragma once
 
 #include "types.h"
@@ -18,7 +18,7 @@
     return {static_cast<std::uint32_t>(endpoint.address().to_v4().to_uint()), endpoint.port()};
 }
 
-// The monotonic clock as the library wants it.
+// The monotonic clock, in the resolution of TimePoint.
 inline TimePoint monotonicNow()
 {
     return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
