--- a/src/link_message.h
+++ b/src/link_message.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Link messages: what control replicas and balancers say to each other over their links.
+// Link messages: messages between control replicas and balancers over their links.
 #pragma once
 
 #include "control_command.h"
@@ -7,12 +7,12 @@
 
 namespace Robinrail {
 
-// Largest message on a link, bytes; a snapshot of the control state must fit.
+// Maximum size of a message on a link, bytes; a snapshot of the control state must fit.
 inline constexpr std::size_t MaxLinkMessageSize = std::size_t{64} << 20U;
 
-// A raft message with its addressee. A replica drops what is for another cluster or another disk: a
-// message to a voter whose disk was lost must not reach the replica that took its place. `to.disk` 0
-// stands for any disk, for a joiner that does not know the others yet.
+// A Raft message with its recipient. A replica drops messages for another cluster or another disk: a
+// message to a voter whose disk was lost must not reach the replica that replaced it. `to.disk` 0 means
+// any disk; a joining replica uses it as long as it does not know the disks of the others.
 struct RaftEnvelope {
     std::uint64_t cluster = 0;
     ReplicaKey from;
@@ -25,7 +25,7 @@
     }
 };
 
-// A balancer asks a replica for its bundle versions from now on, and says which one it has.
+// A balancer subscribes to the bundle versions of a replica; `version` is the one that it already has.
 struct Subscribe {
     BalancerKey balancer;
     std::uint64_t version = 0;
@@ -36,8 +36,8 @@
     }
 };
 
-// A committed bundle version, as a JSON Patch (RFC 6902) on baseVersion or whole with baseVersion 0.
-// `digest` is the BLAKE2b-256 of the resulting document's compact form.
+// A committed bundle version: a JSON Patch (RFC 6902) on baseVersion, or the whole document if baseVersion is 0.
+// `digest` is the BLAKE2b-256 hash of the resulting document in its compact form.
 struct BundleOffer {
     std::uint64_t version = 0;
     std::uint64_t baseVersion = 0;
@@ -51,7 +51,7 @@
     }
 };
 
-// The balancer has this version in force.
+// A balancer reports that it has applied this bundle version.
 struct VersionReport {
     BalancerKey balancer;
     std::uint64_t version = 0;
@@ -62,8 +62,8 @@
     }
 };
 
-// A replica's sign of life to a subscribed balancer: the newest version that this balancer may have, as
-// far as the replica knows, and whether the replica is in contact with a quorum.
+// Heartbeat of a replica to a subscribed balancer: the newest bundle version that the replica knows and that
+// this balancer may have, and whether the replica is in contact with a quorum.
 struct ControlHeartbeat {
     std::uint64_t version = 0;
     bool inContact = false;
@@ -74,7 +74,7 @@
     }
 };
 
-// Keeps a link alive that has nothing else to say.
+// Keeps an idle link alive.
 struct LinkPing {
     auto fields()
     {
--- a/src/message.h
+++ b/src/message.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Messages of the data path: between callers, balancers and targets, one UDP datagram each.
+// Messages of the data path between callers, balancers and targets; each is one UDP datagram.
 #pragma once
 
 #include "connection_id.h"
@@ -11,24 +11,24 @@
 
 namespace Robinrail {
 
-// Largest datagram that is sent or accepted, bytes. Fits an Ethernet frame, so nothing is fragmented.
+// Maximum size of a datagram that is sent or accepted, bytes. Fits into an Ethernet frame, so that IP does not fragment it.
 inline constexpr std::size_t MaxDatagramSize = 1452;
 
-// Largest request or answer part body, bytes; leaves room for two nested headers.
+// Maximum body size of a request or of one part of an answer, bytes; leaves room for two nested headers.
 inline constexpr std::size_t MaxBodySize = 1024;
 
-// Most parts that one answer may have.
+// Maximum number of parts of an answer.
 inline constexpr std::uint16_t MaxAnswerParts = 64;
 
-// How a request ended. Exactly one of these reaches the caller.
+// Result of a request. The caller gets exactly one of these.
 enum class Outcome : std::uint8_t {
     Answered,
-    NotRun, // A promise: no target ever started it, and none will.
-    OutcomeUnknown, // It may have run; it will not be run again.
-    DeadlinePassed, // Only for repeatable requests: it may have run, and repeating it is harmless.
+    NotRun, // Guaranteed: no target has started the request, and none will.
+    OutcomeUnknown, // The request may have run; it will not be run again.
+    DeadlinePassed, // Only for repeatable requests: the request may have run, and repeating it is harmless.
 };
 
-// Why a request was refused; for people and metrics, never for decisions of the caller.
+// Why a request was refused; for operators and metrics. Callers must base no decision on it.
 enum class RefusalReason : std::uint8_t {
     Overload,
     NoTarget,
@@ -42,7 +42,7 @@
 
 // ---- Callers ----
 
-// Opens a flow. The nonce lets the caller match the answer; it is not trusted.
+// Opens a flow. The caller matches the answer by the nonce, which is not used for authentication.
 struct OpenFlow {
     std::uint64_t nonce = 0;
 
@@ -63,7 +63,7 @@
     }
 };
 
-// A request on an open flow. timeLeft is what remains of its deadline, so clocks need not agree.
+// A request on an open flow. `timeLeft` is the time until its deadline, so that clocks need not be synchronized.
 struct Request {
     SealedConnectionId connectionId{};
     RequestId request{};
@@ -87,7 +87,7 @@
     }
 };
 
-// Subscribes to the feed of the flow and keeps it alive; acknowledges every item up to `acknowledged`.
+// Subscribes to the feed of the flow or renews the subscription; acknowledges all items up to `acknowledged`.
 struct PollFeed {
     SealedConnectionId connectionId{};
     std::uint64_t acknowledged = 0;
@@ -98,7 +98,7 @@
     }
 };
 
-// One part of an answer. Parts of different attempts never mix, as `attempt` tells them apart.
+// One part of an answer. `attempt` distinguishes the parts of different attempts, which must not be mixed.
 struct AnswerPart {
     FlowId flow{};
     RequestId request{};
@@ -113,8 +113,8 @@
     }
 };
 
-// The final answer to a request that was given up on. It is sent at once; retryAfter says when
-// asking again makes sense.
+// The final answer to a request that was not completed. It is sent without delay; `retryAfter` is the time after
+// which a repetition is worthwhile.
 struct Refusal {
     FlowId flow{};
     RequestId request{};
@@ -139,8 +139,8 @@
     }
 };
 
-// The flow has another owner from now on, and maybe another number; the caller uses the new id in
-// later packets.
+// The flow has a new owner and possibly a new number; the caller uses the new connection id in
+// all later packets.
 struct FlowMoved {
     FlowId previous{};
     FlowId flow{};
@@ -154,7 +154,7 @@
 
 // ---- Targets ----
 
-// One attempt to run a request or one feed attachment, named by the balancer run that made it.
+// Identifies an attempt to run a request, or a feed attachment, by the balancer incarnation that started it.
 struct AttemptKey {
     BalancerKey owner;
     std::uint64_t serial = 0;
@@ -167,9 +167,9 @@
     }
 };
 
-// A target announces itself to any balancer, again and again; nobody lists targets anywhere else.
-// `sequence` grows with every announcement of one incarnation. `reportedRunning` may lag or lie and
-// is shown to operators only.
+// Periodic announcement of a target to any balancer; targets are not configured anywhere else.
+// `sequence` increases with each announcement of an incarnation. `reportedRunning` may be outdated or wrong
+// and is only shown to operators.
 struct Announcement {
     TargetId target{};
     ServiceId service{};
@@ -220,7 +220,7 @@
     }
 };
 
-// The target did not start the attempt and will not: it is full or draining.
+// The target has not started the attempt and will not start it, because it is at capacity or draining.
 struct RunRefused {
     AttemptKey attempt;
 
@@ -230,8 +230,8 @@
     }
 };
 
-// Asks the target to push feed items from nextSequence on, naming the attachment in each. The target
-// answers with FeedAttached at once, as the feed itself may be quiet.
+// Asks the target to push the feed items from nextSequence on, each with the id of this attachment. The target
+// answers with FeedAttached at once, because the feed itself may have no items for a long time.
 struct AttachFeed {
     AttemptKey attachment;
     FlowId flow{};
@@ -276,8 +276,8 @@
 
 // ---- Balancers ----
 
-// A packet that belongs to another balancer, passed on as it came. Piggybacks the sender's free slots
-// of the service, so that load hints cost no control traffic.
+// A packet forwarded unchanged to the balancer that owns its flow. Piggybacks the sender's free slots of
+// the service, so that load hints need no control traffic of their own.
 struct RelayedPacket {
     BalancerKey relay;
     ServiceId service{};
@@ -292,8 +292,8 @@
     }
 };
 
-// Asks one balancer run to spend one of its slots on an attempt of the sender. A restarted receiver
-// is another incarnation and ignores it, which keeps a late duplicate from running twice.
+// Asks a balancer to run an attempt of the sender on one of its own slots. It is addressed to one incarnation: a
+// balancer that has restarted since ignores it, so that a late duplicate does not run twice.
 struct OffloadRequest {
     AttemptKey attempt;
     BalancerKey executor;
@@ -307,8 +307,8 @@
     }
 };
 
-// One target's announcement in a heartbeat. Its age keeps gossip from prolonging a lease, and knownFor
-// keeps a balancer that joins from starting a warm target slowly.
+// Announcement of one target in a heartbeat. With `age`, passing it on does not extend the lease of the target. With
+// `knownFor`, a balancer that joins does not apply slow start to a target that is already warm.
 struct GossipedAnnouncement {
     Announcement announcement;
     Duration age{};
@@ -320,8 +320,8 @@
     }
 };
 
-// Renewal of a target that the receiver already knows; a fifth of the size of its announcement. Only the
-// low bits of the incarnation are sent: another incarnation is announced in full before it is renewed.
+// Renews the lease of a target that the receiver already knows; a fifth of the size of an announcement. The low
+// bits of the incarnation suffice, because a new incarnation is announced in full before it is renewed.
 struct TargetRenewal {
     TargetId target{};
     std::uint16_t incarnationBits = 0;
@@ -334,7 +334,7 @@
     }
 };
 
-// Periodic sign of life to peers. `successor` is set once a stopping balancer has handed its flows on.
+// Periodic heartbeat to peers. `successor` is set once a stopping balancer has handed over its flows.
 struct Heartbeat {
     BalancerKey sender;
     DataCentreId dataCentre{};
@@ -351,7 +351,7 @@
     }
 };
 
-// State of one flow that moves to the successor of a stopping balancer.
+// State of one flow that is handed over to the successor of a stopping balancer.
 struct FlowHandover {
     FlowId flow{};
     ServiceId service{};
@@ -368,7 +368,7 @@
     }
 };
 
-// The sender has already fenced these flows off: it will not run anything on them again.
+// Hands flows over. The sender has already fenced them and starts no further attempts on them.
 struct HandoverFlows {
     BalancerKey from;
     BalancerKey to;
--- a/src/node_message.h
+++ b/src/node_message.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Node messages: what replicas and steering balancers say to each other over their links.
+// Node messages: messages between replicas and flow-steering balancers over their links.
 #pragma once
 
 #include "directory_digest.h"
@@ -19,7 +19,7 @@
     Balancer,
 };
 
-// The first message on each link, in both directions.
+// First message on each link, in both directions.
 struct NodeHello {
     NodeRole role = NodeRole::Balancer;
     ReplicaId replica{}; // 0 for a balancer.
@@ -31,7 +31,7 @@
     }
 };
 
-// Keeps a link alive that has nothing else to say.
+// Keeps an idle link alive.
 struct NodePing {
     auto fields()
     {
@@ -39,7 +39,7 @@
     }
 };
 
-// A replica and its data centre; 0 as long as that is not known.
+// A replica and its data centre; the data centre is 0 while it is not known.
 struct ReplicaLocation {
     ReplicaId replica{};
     DataCentreId dataCentre{};
@@ -52,7 +52,7 @@
     }
 };
 
-// Where replicas are, as far as the sender knows.
+// The replicas that the sender knows, with their locations.
 struct ReplicaList {
     std::vector<ReplicaLocation> replicas;
 
@@ -62,6 +62,7 @@
     }
 };
 
+// States of targets that the receiver may not know yet.
 struct TargetStatusList {
     std::vector<TargetStatus> statuses;
 
@@ -71,8 +72,8 @@
     }
 };
 
-// A balancer asks a replica for what changed in its directory after a number of the log that `life` names, from now on.
-// Life 0: for all of it.
+// A balancer subscribes to the changes of a replica's target directory that follow change number `after`. `life` identifies
+// the change log that the number belongs to; 0 asks for the whole directory.
 struct FollowDirectory {
     std::uint64_t life = 0;
     std::uint64_t after = 0;
@@ -83,17 +84,16 @@
     }
 };
 
-// A target as a page of the directory has it: 32 bytes with a key of 40 bits and a service that
-// others on the page have, too.
+// A target in a directory page; 32 bytes if its key has 40 bits and another target of the page has the same service.
 struct DirectoryPageEntry {
     TargetKey key{};
-    std::uint16_t service = 0; // Position in the page.
+    std::uint16_t service = 0; // Index into DirectoryPage::services.
     Endpoint address;
     DataCentreId dataCentre{};
     std::uint32_t slots = 1;
     TargetPhase phase = TargetPhase::Serving;
     bool silent = false;
-    std::uint32_t warmupMs = 0; // How long it stays slow, milliseconds.
+    std::uint32_t warmupMs = 0; // Remaining warm-up time, milliseconds.
     std::uint64_t sequence = 0;
     std::uint64_t born = 0;
 
@@ -103,14 +103,14 @@
     }
 };
 
-// Targets that changed after a number, in the order of their changes, up to another number. After 0: what follows is the
-// whole directory, and a target that does not come is not in it.
+// Targets whose last change has a number above `after` and up to `upTo`, in the order of the changes. A page with `after` 0
+// starts a transfer of the whole directory: targets that are not in it are not in the directory.
 struct DirectoryPage {
     std::uint64_t life = 0;
     std::uint64_t after = 0;
     std::uint64_t upTo = 0;
-    bool last = false; // Nothing followed when the page was made.
-    bool informed = false; // The replica has been told of all targets, or they have had time to announce themselves.
+    bool last = false; // No further changes existed when the page was made.
+    bool informed = false; // The replica knows all targets: others have told it, or all have had time to announce themselves.
     std::vector<std::string> services;
     std::vector<DirectoryPageEntry> targets;
 
@@ -120,7 +120,7 @@
     }
 };
 
-// The sending replica knows that this target drains or left.
+// Confirms that the sending replica knows that this target is draining or has left.
 struct TargetReceipt {
     TargetLifetime lifetime;
     TargetPhase phase = TargetPhase::Serving;
@@ -131,7 +131,7 @@
     }
 };
 
-// The answer to a list of news, for those targets of it that drain or left.
+// Answer to a TargetStatusList, for the targets in it that are draining or have left.
 struct TargetReceipts {
     std::vector<TargetReceipt> receipts;
 
@@ -141,8 +141,8 @@
     }
 };
 
-// A balancer to the replica that it follows, and that one to the others: data of open flows to these targets was
-// repeated, and nothing came from them since.
+// Reports targets that do not answer: data of open flows to them was retransmitted, and no packet has come from them since.
+// A balancer sends it to the replica that it follows, which forwards it to the replicas that are to probe the targets.
 struct TargetsUnanswered {
     std::vector<TargetKey> keys;
 
@@ -152,7 +152,8 @@
     }
 };
 
-// A replica to the others, and each to balancers: the finder tried just now to connect to these targets, in vain.
+// Reports that the reporter has just failed to connect to these targets. A replica sends it to the other replicas, and each
+// replica to its balancers.
 struct TargetsUnreachable {
     ReplicaLocation reporter;
     std::vector<TargetKey> keys;
@@ -163,9 +164,9 @@
     }
 };
 
-// A replica's newest committed routing, to balancers and to the other replicas: the number of its table, which is asked
-// for, and the drained data centres in full, as there are few. Confirmed: it held of late all that a quorum had, so
-// nothing newer was accepted before that.
+// A replica's newest committed routing, sent to balancers and the other replicas: the version of the routing table, which is
+// transferred on request, and the complete list of drained data centres, which is short. `confirmed`: the replica recently
+// had all that a quorum had, so that no newer version was accepted before that time.
 struct RoutingOffer {
     RoutingProgress progress;
     bool confirmed = false;
@@ -177,7 +178,7 @@
     }
 };
 
-// A balancer asks for the newest table.
+// A balancer requests the newest routing table.
 struct RoutingRequest {
     auto fields()
     {
@@ -213,7 +214,7 @@
                                  DirectoryAnswered,
                                  DirectoryCompare>;
 
-// What each kind of message is called in figures, in the order of the variant.
+// Names of the kinds of messages in metrics and logs, in the order of the variant.
 inline constexpr std::array<std::string_view, std::variant_size_v<NodeMessage>> NodeMessageNames{"hello",
                                                                                                  "ping",
                                                                                                  "raft",
