--- a/fuzz/fuzz_bundle.cpp
+++ b/fuzz/fuzz_bundle.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Fuzz target: bundle texts.
+// Fuzz target: the bundle parser.
 #include "bundle.h"
 
 #include <cstddef>
--- a/fuzz/fuzz_link_message.cpp
+++ b/fuzz/fuzz_link_message.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Fuzz target: messages of links, of the consensus and of operators.
+// Fuzz target: decoding of link messages, Raft messages and control changes.
 #include "link_message.h"
 
 #include <cstddef>
--- a/fuzz/fuzz_message.cpp
+++ b/fuzz/fuzz_message.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Fuzz target: a datagram of anybody, through decoding and through a whole balancer.
+// Fuzz target: an arbitrary datagram, decoded and then handled by a balancer as if from a caller, a target and a peer.
 #include "balancer_core.h"
 
 #include <cstddef>
@@ -10,8 +10,8 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
-    static const int Ready = sodium_init();
-    (void)Ready;
+    static const int SodiumReady = sodium_init();
+    (void)SodiumReady;
     const std::optional<Message> message = decodeMessage<Message>({data, size});
     if (!message) {
         return 0;
--- a/fuzz/fuzz_platform.cpp
+++ b/fuzz/fuzz_platform.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Fuzz target: what arrives from the platform, that is packets, documents and announcements, and links.
+// Fuzz target: input from the platform (packets, documents, announcements), node messages and recovery notes.
 #include "document_codec.h"
 #include "node_message.h"
 #include "packet_codec.h"
--- a/fuzz/fuzz_record.cpp
+++ b/fuzz/fuzz_record.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Fuzz target: snapshots of the control state, and datagrams and frames before authentication.
+// Fuzz target: snapshots of the control state, and datagrams and session frames that are not authenticated yet.
 #include "control_state.h"
 #include "datagram_guard.h"
 
@@ -11,12 +11,12 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
-    static const int Ready = sodium_init();
-    (void)Ready;
+    static const int SodiumReady = sodium_init();
+    (void)SodiumReady;
     ControlState state;
     state.restore({data, size});
-    DatagramAuthenticator guard(ClusterKey{1}, {BalancerId{1}, Incarnation{1}});
-    guard.open({data, size});
+    DatagramAuthenticator authenticator(ClusterKey{1}, {BalancerId{1}, Incarnation{1}});
+    authenticator.open({data, size});
     SecureSession session(ClusterKey{1}, PeerRole::Control, 1, false);
     session.receive({data, size});
     session.receive({data, size});
