--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -34,7 +34,7 @@
 // A replica's links: to the others, one dialled by each of a pair, and to balancers that only take.
 struct FleetModel::Links {
     struct Link {
-        ReplicaPlace peer;
+        ReplicaLocation peer;
         ReplicaLinkId peerLink = 0; // The same link as its other end calls it; 0 for a balancer's.
         bool dialled = false;
     };
@@ -85,7 +85,7 @@
 };
 
 struct FleetModel::Replica {
-    ReplicaPlace place;
+    ReplicaLocation place;
     Links links;
     std::unique_ptr<BasicTargetExchange<Links>> exchange;
     double processorSeconds = 0;
@@ -109,7 +109,7 @@
     }
     const Link &link = at->second;
     const DataCentreId own = model->m_replicas[owner]->place.dataCentre;
-    const LinkDistance distance = link.peer.dataCentre == own ? LinkDistance::Near : LinkDistance::Far;
+    const LinkDistance distance = link.peer.dataCentre == own ? LinkDistance::SameDataCentre : LinkDistance::OtherDataCentre;
     if (link.peerLink == 0) {
         toBalancers.count(LinkDirection::Sent, distance, message);
         return;
@@ -117,9 +117,10 @@
     toReplicas.count(LinkDirection::Sent, distance, message);
     ++messagesToReplicas;
     const auto peer = static_cast<std::size_t>(value(link.peer.replica)) - 1;
-    model->at(model->m_now + (distance == LinkDistance::Near ? NearDelay : FarDelay), [target = model, peer, peerLink = link.peerLink, bytes = message] {
-        target->deliver(peer, peerLink, bytes);
-    });
+    model->at(model->m_now + (distance == LinkDistance::SameDataCentre ? NearDelay : FarDelay),
+              [target = model, peer, peerLink = link.peerLink, bytes = message] {
+                  target->deliver(peer, peerLink, bytes);
+              });
 }
 
 FleetModel::FleetModel(const FleetShape &shape, std::uint64_t seed)
@@ -256,7 +257,7 @@
     if (at == replica.links.links.end()) {
         return; // Lost with the link.
     }
-    const ReplicaPlace peer = at->second.peer;
+    const ReplicaLocation peer = at->second.peer;
     timed(replica, [&] {
         if (const std::optional<NodeMessage> decoded = decodeMessage<NodeMessage>(message)) {
             dispatch(replica, peer, link, *decoded);
@@ -264,7 +265,7 @@
     });
 }
 
-void FleetModel::dispatch(Replica &replica, const ReplicaPlace &peer, ReplicaLinkId link, const NodeMessage &message)
+void FleetModel::dispatch(Replica &replica, const ReplicaLocation &peer, ReplicaLinkId link, const NodeMessage &message)
 {
     BasicTargetExchange<Links> &exchange = *replica.exchange;
     if (const auto *news = std::get_if<TargetStatusList>(&message)) {
@@ -381,9 +382,9 @@
         const auto sent = [](const LinkTraffic &traffic, LinkDistance distance) {
             return static_cast<double>(traffic.bytes(LinkDirection::Sent, distance));
         };
-        figures.replicaBytes += sent(links.toReplicas, LinkDistance::Near) + sent(links.toReplicas, LinkDistance::Far);
-        figures.balancerBytes += sent(links.toBalancers, LinkDistance::Near) + sent(links.toBalancers, LinkDistance::Far);
-        figures.farBytes += sent(links.toReplicas, LinkDistance::Far) + sent(links.toBalancers, LinkDistance::Far);
+        figures.replicaBytes += sent(links.toReplicas, LinkDistance::SameDataCentre) + sent(links.toReplicas, LinkDistance::OtherDataCentre);
+        figures.balancerBytes += sent(links.toBalancers, LinkDistance::SameDataCentre) + sent(links.toBalancers, LinkDistance::OtherDataCentre);
+        figures.farBytes += sent(links.toReplicas, LinkDistance::OtherDataCentre) + sent(links.toBalancers, LinkDistance::OtherDataCentre);
         figures.replicaMessages += static_cast<double>(std::exchange(links.messagesToReplicas, 0));
         figures.busiestProcessorSeconds = std::max(figures.busiestProcessorSeconds, replica->processorSeconds);
         figures.processorSeconds += std::exchange(replica->processorSeconds, 0.0);
--- a/src/announcement_choice.h
+++ b/src/announcement_choice.h
@@ -21,16 +21,16 @@
 
 // The reachable replica that a target should use; empty if this announcement's answer does not name one. Replicas in the
 // target's data centre are preferred; rendezvous hashing spreads the targets over replicas of equal preference.
-inline std::optional<ReplicaId> announcementReplica(const TargetRecord &record, std::span<const ReplicaPlace> reachable)
+inline std::optional<ReplicaId> announcementReplica(const TargetRecord &record, std::span<const ReplicaLocation> reachable)
 {
     const bool redirect = (record.sequence + hashPair(value(record.key), 0)) % AnnouncementsPerRedirect == 0;
     if (!redirect || reachable.empty()) {
         return std::nullopt;
     }
-    const auto rank = [&record](const ReplicaPlace &place) {
+    const auto rank = [&record](const ReplicaLocation &place) {
         return std::pair(place.dataCentre == record.dataCentre, hashPair(value(record.key), value(place.replica)));
     };
-    const auto best = std::max_element(reachable.begin(), reachable.end(), [&rank](const ReplicaPlace &left, const ReplicaPlace &right) {
+    const auto best = std::max_element(reachable.begin(), reachable.end(), [&rank](const ReplicaLocation &left, const ReplicaLocation &right) {
         return rank(left) < rank(right);
     });
     return best->replica;
--- a/src/datagram_guard.cpp
+++ b/src/datagram_guard.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Datagram guard: SipHash-2-4 with a key derived from the cluster key.
+// Datagram authentication: SipHash-2-4 with a key derived from the cluster key.
 #include "datagram_guard.h"
 
 #include <sodium.h>
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr std::string_view Purpose = "robinrail-datagram-v1";
+constexpr std::string_view KeyDerivationContext = "robinrail-datagram-v1";
 constexpr std::size_t SenderSize = 2;
-constexpr std::size_t NumberSize = 6;
-constexpr std::size_t HeaderSize = SenderSize + 2 * NumberSize;
+constexpr std::size_t Uint48Size = 6;
+constexpr std::size_t HeaderSize = SenderSize + 2 * Uint48Size;
 constexpr std::size_t MacSize = 8;
-static_assert(HeaderSize + MacSize == GuardOverhead);
+static_assert(HeaderSize + MacSize == DatagramAuthOverhead);
 static_assert(MacSize == crypto_shorthash_siphash24_BYTES);
 
 void appendInteger(Bytes &bytes, std::uint64_t number, std::size_t size)
@@ -36,7 +36,7 @@
 
 } // namespace
 
-bool ReplayWindow::take(std::uint64_t number)
+bool ReplayWindow::accept(std::uint64_t number)
 {
     if (number + Size <= m_highest) {
         return false;
@@ -45,8 +45,8 @@
         if (number - m_highest >= Size) {
             m_seen.reset();
         } else {
-            for (std::uint64_t passed = m_highest + 1; passed <= number; ++passed) {
-                m_seen.reset(passed % Size);
+            for (std::uint64_t skipped = m_highest + 1; skipped <= number; ++skipped) {
+                m_seen.reset(skipped % Size);
             }
         }
         m_highest = number;
@@ -58,19 +58,20 @@
     return true;
 }
 
-DatagramGuard::DatagramGuard(const ClusterKey &key, BalancerKey self)
+DatagramAuthenticator::DatagramAuthenticator(const ClusterKey &key, BalancerKey self)
     : m_self(self)
 {
-    crypto_generichash(m_key.data(), m_key.size(), reinterpret_cast<const unsigned char *>(Purpose.data()), Purpose.size(), key.data(), key.size());
+    crypto_generichash(
+        m_key.data(), m_key.size(), reinterpret_cast<const unsigned char *>(KeyDerivationContext.data()), KeyDerivationContext.size(), key.data(), key.size());
 }
 
-Bytes DatagramGuard::seal(BytesView payload)
+Bytes DatagramAuthenticator::seal(BytesView payload)
 {
     Bytes bytes;
-    bytes.reserve(payload.size() + GuardOverhead);
+    bytes.reserve(payload.size() + DatagramAuthOverhead);
     appendInteger(bytes, value(m_self.id), SenderSize);
-    appendInteger(bytes, value(m_self.incarnation), NumberSize);
-    appendInteger(bytes, ++m_sent, NumberSize);
+    appendInteger(bytes, value(m_self.incarnation), Uint48Size);
+    appendInteger(bytes, ++m_sent, Uint48Size);
     bytes.insert(bytes.end(), payload.begin(), payload.end());
     std::array<std::uint8_t, MacSize> mac{};
     crypto_shorthash_siphash24(mac.data(), bytes.data(), bytes.size(), m_key.data());
@@ -78,9 +79,9 @@
     return bytes;
 }
 
-std::optional<DatagramGuard::Opened> DatagramGuard::open(BytesView datagram)
+std::optional<DatagramAuthenticator::AuthenticatedDatagram> DatagramAuthenticator::open(BytesView datagram)
 {
-    if (datagram.size() < GuardOverhead) {
+    if (datagram.size() < DatagramAuthOverhead) {
         return std::nullopt;
     }
     const BytesView content = datagram.first(datagram.size() - MacSize);
@@ -89,10 +90,10 @@
     if (sodium_memcmp(mac.data(), datagram.data() + content.size(), MacSize) != 0) {
         return std::nullopt;
     }
-    Opened opened;
+    AuthenticatedDatagram opened;
     opened.sender.id = BalancerId{static_cast<std::uint16_t>(readInteger(content.first(SenderSize)))};
-    opened.sender.incarnation = Incarnation{readInteger(content.subspan(SenderSize, NumberSize))};
-    const std::uint64_t number = readInteger(content.subspan(SenderSize + NumberSize, NumberSize));
+    opened.sender.incarnation = Incarnation{readInteger(content.subspan(SenderSize, Uint48Size))};
+    const std::uint64_t number = readInteger(content.subspan(SenderSize + Uint48Size, Uint48Size));
     opened.payload = content.subspan(HeaderSize);
     Sender &sender = m_senders[opened.sender.id];
     if (opened.sender.incarnation < sender.incarnation) {
@@ -101,7 +102,7 @@
     if (opened.sender.incarnation > sender.incarnation) {
         sender = {opened.sender.incarnation, {}};
     }
-    return sender.window.take(number) ? std::optional(opened) : std::nullopt;
+    return sender.window.accept(number) ? std::optional(opened) : std::nullopt;
 }
 
 } // namespace Robinrail
--- a/src/directory_answers.h
+++ b/src/directory_answers.h
@@ -60,7 +60,7 @@
         TargetStatusList chunk;
         for (std::size_t i = 0; i < count; ++i) {
             if (std::optional<TargetStatus> status = m_directory.status(now, keys.back())) {
-                chunk.news.push_back(std::move(*status));
+                chunk.statuses.push_back(std::move(*status));
             }
             keys.pop_back();
         }
--- a/src/drain_confirmations.cpp
+++ b/src/drain_confirmations.cpp
@@ -4,7 +4,7 @@
 
 namespace Robinrail {
 
-DrainConfirmations::DrainConfirmations(const LossTolerance &tolerance, const ReplicaPlace &self)
+DrainConfirmations::DrainConfirmations(const LossTolerance &tolerance, const ReplicaLocation &self)
     : m_tolerance(tolerance)
     , m_self{{self.replica, self.dataCentre}}
 {
@@ -29,7 +29,7 @@
     m_pending.emplace(lifetime, Pending{phase, m_self, now + DrainAnswerTimeout, std::move(respond)});
 }
 
-void DrainConfirmations::receipt(const ReplicaPlace &from, TargetLifetime lifetime, TargetPhase phase)
+void DrainConfirmations::receipt(const ReplicaLocation &from, TargetLifetime lifetime, TargetPhase phase)
 {
     const auto [first, last] = m_pending.equal_range(lifetime);
     for (auto at = first; at != last;) {
--- a/src/drain_confirmations.h
+++ b/src/drain_confirmations.h
@@ -22,7 +22,7 @@
     using Respond = std::function<void(bool confirmed)>;
 
     // `self` counts as one of the replicas that know. A drain is confirmed once they satisfy `tolerance`.
-    DrainConfirmations(const LossTolerance &tolerance, const ReplicaPlace &self);
+    DrainConfirmations(const LossTolerance &tolerance, const ReplicaLocation &self);
 
     // Whether enough replicas have known of this phase of a lifetime. This remains valid: a replica that loses its disk later
     // is informed again when it connects.
@@ -35,7 +35,7 @@
     void await(TimePoint now, TargetLifetime lifetime, TargetPhase phase, Respond respond);
 
     // Another replica has confirmed that it knows of this phase.
-    void receipt(const ReplicaPlace &from, TargetLifetime lifetime, TargetPhase phase);
+    void receipt(const ReplicaLocation &from, TargetLifetime lifetime, TargetPhase phase);
 
     // Fails the drains that have timed out, and returns their number.
     std::size_t expire(TimePoint now);
--- a/src/gossip.cpp
+++ b/src/gossip.cpp
@@ -24,7 +24,7 @@
 {
     HeartbeatResult result;
     result.effect = m_context.peers.heartbeat(now, heartbeat);
-    for (const TargetNews &news : heartbeat.news) {
+    for (const GossipedAnnouncement &news : heartbeat.announcements) {
         const AnnouncementEffect effect = m_context.targets.announce(now, news.announcement, news.age, news.knownFor);
         if (effect == AnnouncementEffect::Drained) {
             result.drained.push_back(news.announcement.target);
@@ -58,8 +58,8 @@
     common.counter = ++m_counter;
     for (PendingChange &change : m_pendingChanges) {
         const Target *target = m_context.targets.find(change.target);
-        if (target != nullptr && common.news.size() < MaxAnnouncementsPerHeartbeat) {
-            common.news.push_back(makeNews(now, *target));
+        if (target != nullptr && common.announcements.size() < MaxAnnouncementsPerHeartbeat) {
+            common.announcements.push_back(makeNews(now, *target));
         }
         --change.repeats;
     }
@@ -79,9 +79,9 @@
             continue;
         }
         Heartbeat message = withRenewals;
-        if (!targets.empty() && message.news.empty() && gossipPeer == gossipPeers.begin() && m_counter % AntiEntropyHeartbeats == 0) {
+        if (!targets.empty() && message.announcements.empty() && gossipPeer == gossipPeers.begin() && m_counter % AntiEntropyHeartbeats == 0) {
             // Anti-entropy: one full announcement, chosen round robin, repairs lost updates.
-            message.news.push_back(makeNews(now, targets[m_nextAntiEntropy++ % targets.size()]));
+            message.announcements.push_back(makeNews(now, targets[m_nextAntiEntropy++ % targets.size()]));
         }
         m_context.send(peer.endpoint, message);
     }
@@ -103,7 +103,7 @@
     return heartbeat;
 }
 
-TargetNews Gossip::makeNews(TimePoint now, const Target &target) const
+GossipedAnnouncement Gossip::makeNews(TimePoint now, const Target &target) const
 {
     return {target.announcement, now - target.lastHeard, now - target.firstHeard};
 }
@@ -116,7 +116,7 @@
     m_pendingChanges.push_back({target, ChangeRepeats});
     Heartbeat urgent = makeHeader();
     urgent.counter = ++m_counter;
-    urgent.news.push_back(makeNews(now, *m_context.targets.find(target)));
+    urgent.announcements.push_back(makeNews(now, *m_context.targets.find(target)));
     for (const Peer &peer : m_context.peers.peers()) {
         m_context.send(peer.endpoint, urgent);
     }
@@ -129,7 +129,7 @@
         Heartbeat chunk = makeHeader();
         chunk.counter = ++m_counter;
         for (const Target &target : targets.subspan(from, std::min(MaxAnnouncementsPerHeartbeat, targets.size() - from))) {
-            chunk.news.push_back(makeNews(now, target));
+            chunk.announcements.push_back(makeNews(now, target));
         }
         m_context.send(peer.endpoint, chunk);
     }
--- a/src/gossip.h
+++ b/src/gossip.h
@@ -61,7 +61,7 @@
         TimePoint heard;
     };
     Heartbeat makeHeader() const;
-    TargetNews makeNews(TimePoint now, const Target &target) const;
+    GossipedAnnouncement makeNews(TimePoint now, const Target &target) const;
     void broadcastChange(TimePoint now, TargetId target);
     void sendAllTargets(TimePoint now, const Peer &peer);
     std::vector<TargetRenewal> takeRenewals(TimePoint now);
--- a/src/prober_choice.h
+++ b/src/prober_choice.h
@@ -19,11 +19,11 @@
 
 // The replicas that probe a target: `count` of the reachable ones, in different data centres as far as possible, because
 // the replicas of one data centre lose their connectivity together.
-inline std::vector<ReplicaId> chooseProbers(TargetKey target, std::span<const ReplicaPlace> reachable, std::size_t count)
+inline std::vector<ReplicaId> chooseProbers(TargetKey target, std::span<const ReplicaLocation> reachable, std::size_t count)
 {
-    std::vector<ReplicaPlace> ranked(reachable.begin(), reachable.end());
-    std::sort(ranked.begin(), ranked.end(), [target](const ReplicaPlace &one, const ReplicaPlace &other) {
-        const auto rank = [target](const ReplicaPlace &place) {
+    std::vector<ReplicaLocation> ranked(reachable.begin(), reachable.end());
+    std::sort(ranked.begin(), ranked.end(), [target](const ReplicaLocation &one, const ReplicaLocation &other) {
+        const auto rank = [target](const ReplicaLocation &place) {
             return std::pair(hashPair(value(target), value(place.replica)), value(place.replica));
         };
         return rank(one) > rank(other);
@@ -31,7 +31,7 @@
     std::map<DataCentreId, std::size_t> rankInDataCentre;
     std::vector<std::pair<std::size_t, ReplicaId>> byRank; // Rank within its own data centre, replica.
     byRank.reserve(ranked.size());
-    for (const ReplicaPlace &place : ranked) {
+    for (const ReplicaLocation &place : ranked) {
         byRank.emplace_back(rankInDataCentre[place.dataCentre]++, place.replica);
     }
     std::stable_sort(byRank.begin(), byRank.end(), [](const auto &one, const auto &other) {
--- a/src/recovery_notes.h
+++ b/src/recovery_notes.h
@@ -12,7 +12,7 @@
     std::uint64_t disk = 0; // Disk number of the log that `committed` refers to.
     LogIndex committed{}; // Commit index. Entries up to it stay committed, so an outdated value is safe.
     std::vector<TargetStatus> targets; // Last known state of the targets.
-    std::vector<ReplicaPlace> replicas; // Last known data centres of the replicas; balancers prefer replicas in their own.
+    std::vector<ReplicaLocation> replicas; // Last known data centres of the replicas; balancers prefer replicas in their own.
 
     static constexpr std::size_t OldestFields = 3;
 
--- a/src/replica_choice.cpp
+++ b/src/replica_choice.cpp
@@ -15,7 +15,7 @@
 }
 
 // Replicas of the own data centre come first; within a rank, rendezvous hashing gives each balancer its own order.
-void ReplicaSelector::setReplicas(std::span<const ReplicaPlace> named, std::span<const ReplicaId> seeds)
+void ReplicaSelector::setReplicas(std::span<const ReplicaLocation> named, std::span<const ReplicaId> seeds)
 {
     enum class Rank : std::uint8_t {
         Near,
@@ -26,7 +26,7 @@
     for (const ReplicaId seed : seeds) {
         ranks.try_emplace(seed, Rank::Unnamed);
     }
-    for (const ReplicaPlace &place : named) {
+    for (const ReplicaLocation &place : named) {
         const Rank rank = place.dataCentre == m_dataCentre ? Rank::Near : Rank::Far;
         const auto [at, added] = ranks.try_emplace(place.replica, rank);
         at->second = std::min(at->second, rank);
--- a/src/replica_choice.h
+++ b/src/replica_choice.h
@@ -49,7 +49,7 @@
     ReplicaSelector(DataCentreId dataCentre, std::uint64_t balancerId);
 
     // Sets the replicas to choose from. Seeds that are not among the named ones come last.
-    void setReplicas(std::span<const ReplicaPlace> named, std::span<const ReplicaId> seeds);
+    void setReplicas(std::span<const ReplicaLocation> named, std::span<const ReplicaId> seeds);
 
     // The replica's host accepted a connection; the handshake is still to come.
     void onAccepted(TimePoint now, ReplicaId replica);
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -101,7 +101,7 @@
             const RecoveryNotes notes = readRecoveryNotes(m_file.dataFolder / NotesFile, disk);
             m_driver.emplace(std::move(storage), now, std::random_device()(), policyOf(m_file), notes.committed);
             m_targets.restore(now, notes.targets);
-            for (const ReplicaPlace &known : notes.replicas) {
+            for (const ReplicaLocation &known : notes.replicas) {
                 m_dataCentres.try_emplace(known.replica, known.dataCentre);
             }
             m_dataCentres[m_self] = m_file.dataCentreId(m_file.dataCentre);
@@ -361,7 +361,7 @@
         m_targets.onQuery(monotonicNow(), link, *query);
     } else if (const auto *answered = std::get_if<DirectoryQueryDone>(&message)) {
         m_targets.onAnswered(link, *answered);
-    } else if (const auto *gone = std::get_if<TargetsUnreachable>(&message); gone != nullptr && gone->finder.replica == peer.replica) {
+    } else if (const auto *gone = std::get_if<TargetsUnreachable>(&message); gone != nullptr && gone->reporter.replica == peer.replica) {
         m_links.sendAll(m_links.acceptedFrom(NodeRole::Balancer), *gone);
     }
 }
@@ -374,7 +374,7 @@
         return probe(list);
     }
     const std::size_t probers = 2 * m_file.borneLosses + 1; // Enough remain after the number of losses that must be tolerated.
-    const std::vector<ReplicaPlace> reachable = reachableReplicas();
+    const std::vector<ReplicaLocation> reachable = reachableReplicas();
     std::map<ReplicaId, TargetsUnanswered> shares;
     for (const TargetKey key : list.keys) {
         for (const ReplicaId replica : chooseProbers(key, reachable, probers)) {
@@ -398,15 +398,15 @@
     });
 }
 
-ReplicaPlace ReplicaNode::ownPlace() const
+ReplicaLocation ReplicaNode::ownPlace() const
 {
     return {m_self, m_file.dataCentreId(m_file.dataCentre)};
 }
 
 // This replica and those that it has a link to.
-std::vector<ReplicaPlace> ReplicaNode::reachableReplicas() const
+std::vector<ReplicaLocation> ReplicaNode::reachableReplicas() const
 {
-    std::vector<ReplicaPlace> reachable{ownPlace()};
+    std::vector<ReplicaLocation> reachable{ownPlace()};
     for (const auto &[replica, dataCentre] : m_dataCentres) {
         if (replica != m_self && m_links.linkTo(replica) != 0) {
             reachable.push_back({replica, dataCentre});
@@ -468,7 +468,7 @@
     }
     text.counter("robinrail_notes_not_written_total", "Times that the recovery notes could not be written", static_cast<double>(m_notes.failures()));
     text.counter("robinrail_log_lines_dropped_total", "Log lines that standard output could not take", static_cast<double>(droppedLogLines()));
-    m_links.describe(text);
+    m_links.writeMetrics(text);
     return text.text();
 }
 
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -124,8 +124,8 @@
     void onClosed(LinkHandle link, const NodeHello &peer);
     void onUnanswered(const NodeHello &peer, const TargetsUnanswered &list);
     void probe(const TargetsUnanswered &list);
-    ReplicaPlace ownPlace() const;
-    std::vector<ReplicaPlace> reachableReplicas() const;
+    ReplicaLocation ownPlace() const;
+    std::vector<ReplicaLocation> reachableReplicas() const;
     void reportUnreachableTargets(TimePoint now);
     void sendTable(LinkHandle link);
     void logLeaderChange();
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -173,7 +173,7 @@
     for (const Endpoint &seed : m_file.seeds) {
         seeds.push_back(ReplicaId{seed.address});
     }
-    std::vector<ReplicaPlace> named;
+    std::vector<ReplicaLocation> named;
     for (const auto &[replica, list] : m_replicaLists) {
         named.insert(named.end(), list.begin(), list.end());
     }
@@ -292,8 +292,8 @@
 {
     const TimePoint now = monotonicNow();
     for (const TargetKey key : list.keys) {
-        if (m_probeFindings.unreachable(now, list.finder, key) && m_steering.targets().declareGone(now, key)) {
-            LogLine(LogLevel::Info, "target-gone").with("target", value(key)).with("replica", toText(list.finder.replica));
+        if (m_probeFindings.unreachable(now, list.reporter, key) && m_steering.targets().declareGone(now, key)) {
+            LogLine(LogLevel::Info, "target-gone").with("target", value(key)).with("replica", toText(list.reporter.replica));
         }
     }
     resetFlows();
@@ -429,7 +429,7 @@
     text.counter("robinrail_held_too_long_total", "Packets that were held for too long, or were too many", static_cast<double>(m_heldTooLong));
     text.counter("robinrail_send_failures_total", "Packets that the kernel refused", static_cast<double>(m_sendFailures));
     text.counter("robinrail_log_lines_dropped_total", "Log lines that standard output could not take", static_cast<double>(droppedLogLines()));
-    m_links.describe(text);
+    m_links.writeMetrics(text);
     return text.text();
 }
 
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -103,7 +103,7 @@
     FlowSteering m_steering;
     StallDetector m_stallDetector;
     TimePoint m_now;
-    std::map<ReplicaId, std::vector<ReplicaPlace>> m_replicaLists; // The replica list that each replica sent.
+    std::map<ReplicaId, std::vector<ReplicaLocation>> m_replicaLists; // The replica list that each replica sent.
     ReplicaSelector m_replicaSelector;
     DirectoryFollower m_follower;
     std::map<ReplicaId, LinkHandle> m_directoryLinks; // Links on which the replicas' directories were requested.
--- a/src/target_exchange.h
+++ b/src/target_exchange.h
@@ -50,7 +50,7 @@
     using Respond = std::function<void(bool accepted)>;
 
     // The exchange of the replica `self`. Targets announce themselves once per `announceInterval`.
-    BasicTargetExchange(Links &links, TimePoint now, const ReplicaPlace &self, Duration announceInterval, const LossTolerance &tolerance);
+    BasicTargetExchange(Links &links, TimePoint now, const ReplicaLocation &self, Duration announceInterval, const LossTolerance &tolerance);
 
     // Calls from targets.
     void announce(TimePoint now, const TargetRecord &record, Respond respond);
@@ -78,7 +78,7 @@
     // Messages from other replicas.
     void onTargetStatuses(TimePoint now, ReplicaLinkId link, const TargetStatusList &list);
     void onLeaseUpdate(TimePoint now, ReplicaLinkId link, const TargetLeaseUpdate &update);
-    void onReceipts(TimePoint now, const ReplicaPlace &from, const TargetReceipts &list);
+    void onReceipts(TimePoint now, const ReplicaLocation &from, const TargetReceipts &list);
     void onCompare(TimePoint now, ReplicaLinkId link, const DirectoryCompare &compare);
     void onDigest(TimePoint now, ReplicaLinkId link, const DirectoryDigest &digest);
     void onQuery(TimePoint now, ReplicaLinkId link, const DirectoryQuery &query);
--- a/src/target_exchange_detail.h
+++ b/src/target_exchange_detail.h
@@ -26,7 +26,7 @@
 
 template<ExchangeLinks Links>
 BasicTargetExchange<Links>::BasicTargetExchange(
-    Links &links, TimePoint now, const ReplicaPlace &self, Duration announceInterval, const LossTolerance &tolerance)
+    Links &links, TimePoint now, const ReplicaLocation &self, Duration announceInterval, const LossTolerance &tolerance)
     : m_links(links)
     , m_announceInterval(announceInterval)
     , m_directory(announceInterval, announceInterval * MaxMissedAnnouncements + AnnouncementSlack)
@@ -127,7 +127,7 @@
         TargetStatusList list;
         for (const TargetKey key : rest.first(std::min(rest.size(), PageTargets))) {
             if (std::optional<TargetStatus> status = m_directory.status(now, key)) {
-                list.news.push_back(std::move(*status));
+                list.statuses.push_back(std::move(*status));
             }
         }
         m_links.sendAll(m_links.dialled(), list);
@@ -140,7 +140,7 @@
     m_reconciler.onProgress(now, link);
     std::vector<TargetStatus> changed;
     TargetReceipts receipts;
-    for (const TargetStatus &status : list.news) {
+    for (const TargetStatus &status : list.statuses) {
         if (std::optional<TargetStatus> applied = m_directory.apply(now, status)) {
             changed.push_back(std::move(*applied));
         }
@@ -167,7 +167,7 @@
 }
 
 template<ExchangeLinks Links>
-void BasicTargetExchange<Links>::onReceipts(TimePoint now, const ReplicaPlace &from, const TargetReceipts &list)
+void BasicTargetExchange<Links>::onReceipts(TimePoint now, const ReplicaLocation &from, const TargetReceipts &list)
 {
     m_receiptsAt = now;
     for (const TargetReceipt &receipt : list.receipts) {
--- a/src/target_probe.h
+++ b/src/target_probe.h
@@ -104,7 +104,7 @@
     }
 
     // A replica found the target unreachable. Returns whether the target now counts as gone.
-    bool unreachable(TimePoint now, const ReplicaPlace &prober, TargetKey key)
+    bool unreachable(TimePoint now, const ReplicaLocation &prober, TargetKey key)
     {
         removeOld(now);
         if (m_results.size() >= MaxTargetProbes && !m_results.contains(key)) {
--- a/tests/test_directory.cpp
+++ b/tests/test_directory.cpp
@@ -312,7 +312,7 @@
     CHECK(balancer.take(Start, page) == PageResult::Gap);
     page.upTo = 3;
     CHECK(balancer.take(Start, page) == PageResult::Malformed);
-    page = {LogLife, 0, 4, true, true, {"quotes"}, {ListedTarget{}}};
+    page = {LogLife, 0, 4, true, true, {"quotes"}, {DirectoryPageEntry{}}};
     page.targets[0].service = 1;
     CHECK(balancer.take(Start, page) == PageResult::Malformed);
     page.life = 0;
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -105,10 +105,10 @@
 TEST_CASE("datagrams are accepted once, only with the cluster key, and not from an older incarnation")
 {
     const ClusterKey key{1};
-    DatagramGuard old(key, {BalancerId{1}, Incarnation{1}});
-    DatagramGuard sender(key, {BalancerId{1}, Incarnation{2}});
-    DatagramGuard stranger({2}, {BalancerId{1}, Incarnation{3}});
-    DatagramGuard receiver(key, {BalancerId{2}, Incarnation{1}});
+    DatagramAuthenticator old(key, {BalancerId{1}, Incarnation{1}});
+    DatagramAuthenticator sender(key, {BalancerId{1}, Incarnation{2}});
+    DatagramAuthenticator stranger({2}, {BalancerId{1}, Incarnation{3}});
+    DatagramAuthenticator receiver(key, {BalancerId{2}, Incarnation{1}});
     const Bytes payload{1, 2, 3};
     const Bytes first = sender.seal(payload);
     const Bytes second = sender.seal(payload);
@@ -130,12 +130,12 @@
     std::set<std::uint64_t> taken;
     for (int i = 1; i < 50'000; ++i) {
         const std::uint64_t number = static_cast<std::uint64_t>(i) + random() % 3000;
-        if (window.take(number)) {
+        if (window.accept(number)) {
             CHECK(taken.insert(number).second);
         }
     }
-    CHECK(window.take(1'000'000));
-    CHECK_FALSE(window.take(1));
+    CHECK(window.accept(1'000'000));
+    CHECK_FALSE(window.accept(1));
 }
 
 TEST_CASE("a latency histogram estimates quantiles")
@@ -154,7 +154,7 @@
 {
     int ends[2] = {};
     REQUIRE(::pipe(ends) == 0);
-    LossyOutput output(ends[1]);
+    NonBlockingLineBuffer output(ends[1]);
     std::ostream stream(&output);
     constexpr int Lines = 5000;
     for (int i = 0; i < Lines; ++i) {
--- a/tests/test_replica.cpp
+++ b/tests/test_replica.cpp
@@ -140,7 +140,7 @@
 
 TEST_CASE("recovery notes contain the data centres of replicas, and the previous format can still be read")
 {
-    const ReplicaPlace place{ReplicaId{4}, DataCentreId{2}};
+    const ReplicaLocation place{ReplicaId{4}, DataCentreId{2}};
     const std::optional<RecoveryNotes> notes = decodeNotes(encodeNotes({9, LogIndex{12}, {}, {place}}));
     REQUIRE(notes);
     CHECK(notes->replicas == std::vector{place});
--- a/tests/test_replica_choice.cpp
+++ b/tests/test_replica_choice.cpp
@@ -27,7 +27,7 @@
     return record;
 }
 
-std::vector<ReplicaPlace> threeReplicas()
+std::vector<ReplicaLocation> threeReplicas()
 {
     return {{RemoteReplica, RemoteDataCentre}, {LocalReplica, LocalDataCentre}, {OtherRemoteReplica, RemoteDataCentre}};
 }
@@ -214,7 +214,7 @@
     fixture.linkUp(LocalReplica);
     fixture.selector.onDirectoryComplete(LocalReplica);
     fixture.run(milliseconds(500));
-    const std::vector<ReplicaPlace> rest = {{RemoteReplica, RemoteDataCentre}, {OtherRemoteReplica, RemoteDataCentre}};
+    const std::vector<ReplicaLocation> rest = {{RemoteReplica, RemoteDataCentre}, {OtherRemoteReplica, RemoteDataCentre}};
     fixture.selector.setReplicas(rest, {});
     fixture.run(milliseconds(50));
     CHECK_FALSE(fixture.selector.desiredLinks().contains(LocalReplica));
