--- a/src/api_json.cpp
+++ b/src/api_json.cpp
@@ -115,7 +115,7 @@
             {"state", nameOf(target.state)},
             {"slots", announcement.slots},
             {"usableSlots", usableSlots(target, now)},
-            {"share", target.share},
+            {"share", target.assignedSlots},
             {"running", target.running},
             {"feeds", target.feeds},
             {"connections", announcement.connections},
--- a/src/balancer_api.cpp
+++ b/src/balancer_api.cpp
@@ -177,7 +177,7 @@
         body["feedAttached"] = flow->attachment != 0;
         body["nextSequence"] = flow->nextSequence;
         body["highestRequest"] = flow->window.highest();
-        body["requestsOpen"] = flow->busy;
+        body["requestsOpen"] = flow->activeRequests;
     }
     return jsonReply(body);
 }
