--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -168,12 +168,12 @@
     'if (late && first == nullptr && !stays) {' '*does not take an open flow away*'
 mutate "warm-up: a cold target with a warm-up limit is used" src/flow_steering.cpp '&& !(excludeWarming && context.now < target.warmupEnd)' '&& (excludeWarming || !excludeWarming)' \
     '*whose warm-up is limited*'
-mutate "lifetimes: a later one is superseded" src/target_record.h 'return born > other.born;' 'return born < other.born;' '*restarts under the same key*,*starts again under its key*'
+mutate "lifetimes: a later one is superseded" src/target_record.h 'return born > other.born;' 'return born < other.born;' '*restarts under the same key*,*restarts under its key*'
 mutate "lifetimes: receipts of any lifetime confirm" src/target_record.h 'auto operator<=>(const TargetLifetime &) const = default;' \
     'auto operator<=>(const TargetLifetime &other) const { return key <=> other.key; } bool operator==(const TargetLifetime &other) const { return key == other.key; }' \
     '*former lifetime*'
 mutate "gone: data of flows new to this balancer is forwarded to a gone target" src/flow_steering.cpp 'if (target->isGone(now) && packet.dataBytes > 0) {' \
-    'if (target->isGone(now) && packet.dataBytes > 5000) {' '*new here is reset*'
+    'if (target->isGone(now) && packet.dataBytes > 5000) {' '*unknown flow is reset*'
 mutate "gone: data of a flow opened elsewhere is a sign of life" src/flow_steering.cpp 'if (answered && !openedElsewhere) {' 'if (answered || openedElsewhere) {' '*its data began elsewhere*'
 mutate "target selection: the least loaded by own counts" src/flow_steering.h 'using FlowSteering = BasicFlowSteering<PowerOfTwoSelection>;' \
     'using FlowSteering = BasicFlowSteering<LeastLoadedSelection>;' '*gets at most twice its share*'
