--- a/soak/drain_orders.cpp
+++ b/soak/drain_orders.cpp
@@ -62,12 +62,12 @@
     m_pause = std::min(m_pause * 2, MaxCallPause);
     const Endpoint replica{m_plan.replica(pick(m_random, m_plan.replicas)), Plan::ControlPort};
     const HttpRequest request{m_step == Step::Draining ? "POST" : "DELETE", Platform::drainPath(DrainedDataCentre), {}, {}, {}};
-    callReplica(m_io, replica, request, [this, step = m_step](const std::optional<HttpReply> &reply) {
+    callReplica(m_io, replica, request, [this, step = m_step](const std::optional<HttpResponse> &reply) {
         answered(step, reply);
     });
 }
 
-void DrainOrders::answered(Step step, const std::optional<HttpReply> &reply)
+void DrainOrders::answered(Step step, const std::optional<HttpResponse> &reply)
 {
     constexpr unsigned FirstRefusal = 400;
     constexpr unsigned FirstFailure = 500;
--- a/soak/drain_orders.h
+++ b/soak/drain_orders.h
@@ -38,7 +38,7 @@
 
     void enter(TimePoint now, Step step);
     void call(TimePoint now);
-    void answered(Step step, const std::optional<HttpReply> &reply);
+    void answered(Step step, const std::optional<HttpResponse> &reply);
 
     boost::asio::io_context &m_io;
     Plan m_plan;
--- a/soak/fabric.cpp
+++ b/soak/fabric.cpp
@@ -92,7 +92,7 @@
     for (std::size_t i = 0; i < m_nodes.size(); ++i) {
         const Endpoint readiness{m_plan.balancer(i), Plan::ReadinessPort};
         const HttpRequest request{"GET", Platform::readinessPath(), {}, {}, {}};
-        startHttpCall(m_io, readiness, request, ProbeTimeout, [this, i](const std::optional<HttpReply> &reply) {
+        startHttpRequest(m_io, readiness, request, ProbeTimeout, [this, i](const std::optional<HttpResponse> &reply) {
             const bool ready = reply && reply->status == Ok;
             m_nodes[i].misses = ready ? 0 : m_nodes[i].misses + 1;
         });
--- a/soak/operator_call.cpp
+++ b/soak/operator_call.cpp
@@ -13,9 +13,9 @@
 
 } // namespace
 
-void callReplica(boost::asio::io_context &io, Endpoint replica, const HttpRequest &request, const HttpDone &done, int redirects)
+void callReplica(boost::asio::io_context &io, Endpoint replica, const HttpRequest &request, const HttpCallback &done, int redirects)
 {
-    startHttpCall(io, replica, request, CallTimeout, [&io, request, redirects, done](const std::optional<HttpReply> &reply) {
+    startHttpRequest(io, replica, request, CallTimeout, [&io, request, redirects, done](const std::optional<HttpResponse> &reply) {
         constexpr std::string_view Scheme = "http://";
         if (reply && reply->status == TemporaryRedirect && redirects < MaxHttpRedirects && reply->location.starts_with(Scheme)) {
             const std::string place = reply->location.substr(Scheme.size());
--- a/soak/operator_call.h
+++ b/soak/operator_call.h
@@ -15,6 +15,6 @@
 inline constexpr Duration MaxCallPause = std::chrono::milliseconds(800);
 
 // Calls a replica, and the one that it redirects to, twice at most.
-void callReplica(boost::asio::io_context &io, Endpoint replica, const HttpRequest &request, const HttpDone &done, int redirects = 0);
+void callReplica(boost::asio::io_context &io, Endpoint replica, const HttpRequest &request, const HttpCallback &done, int redirects = 0);
 
 } // namespace Robinrail::Soak
--- a/soak/operator_desk.cpp
+++ b/soak/operator_desk.cpp
@@ -120,7 +120,7 @@
         if (!order->calling && now >= order->due) {
             order->calling = true;
             const HttpRequest request{"PUT", Platform::documentPath(), {}, {}, order->text};
-            callReplica(m_io, {m_plan.replica(order->replica), Plan::ControlPort}, request, [this, order](const std::optional<HttpReply> &reply) {
+            callReplica(m_io, {m_plan.replica(order->replica), Plan::ControlPort}, request, [this, order](const std::optional<HttpResponse> &reply) {
                 answered(order, reply);
             });
         }
@@ -131,7 +131,7 @@
     }
 }
 
-void OperatorDesk::answered(const std::shared_ptr<Order> &order, const std::optional<HttpReply> &reply)
+void OperatorDesk::answered(const std::shared_ptr<Order> &order, const std::optional<HttpResponse> &reply)
 {
     const TimePoint now = monotonicNow();
     const bool taken = reply && reply->status == Ok;
@@ -160,14 +160,14 @@
     const std::uint64_t floor = std::max(m_acknowledged, m_seen);
     const bool last = m_finishing && m_open.empty();
     const Endpoint replica{m_plan.replica(pick(m_random, m_plan.replicas)), Plan::ControlPort};
-    callReplica(m_io, replica, {"GET", Platform::documentPath(), {}, {}, {}}, [this, floor, last](const std::optional<HttpReply> &reply) {
+    callReplica(m_io, replica, {"GET", Platform::documentPath(), {}, {}, {}}, [this, floor, last](const std::optional<HttpResponse> &reply) {
         if (reply && reply->status == Ok) {
             readBack(floor, last, *reply);
         }
     });
 }
 
-void OperatorDesk::readBack(std::uint64_t floor, bool last, const HttpReply &reply)
+void OperatorDesk::readBack(std::uint64_t floor, bool last, const HttpResponse &reply)
 {
     ++m_reads;
     const nlohmann::json document = nlohmann::json::parse(reply.body, nullptr, false);
--- a/soak/operator_desk.h
+++ b/soak/operator_desk.h
@@ -51,10 +51,10 @@
     void drawChange(TimePoint now);
     void drawBad(TimePoint now);
     void add(TimePoint now, std::uint64_t version, std::string text, bool valid);
-    void answered(const std::shared_ptr<Order> &order, const std::optional<HttpReply> &reply);
+    void answered(const std::shared_ptr<Order> &order, const std::optional<HttpResponse> &reply);
     void read(TimePoint now);
     void followRoute(TimePoint now);
-    void readBack(std::uint64_t floor, bool last, const HttpReply &reply);
+    void readBack(std::uint64_t floor, bool last, const HttpResponse &reply);
 
     boost::asio::io_context &m_io;
     Plan m_plan;
--- a/soak/replica_watch.cpp
+++ b/soak/replica_watch.cpp
@@ -68,11 +68,12 @@
 {
     const HttpRequest request{"GET", "/metrics", {}, {}, {}};
     const std::uint64_t due = m_versions.due(now);
-    startHttpCall(m_io, {m_plan.replica(replica), Plan::ControlPort}, request, AskTimeout, [this, now, replica, due](const std::optional<HttpReply> &reply) {
-        if (const auto held = reply ? routingVersionOf(reply->body) : std::nullopt) {
-            judge(now, replica, due, *held);
-        }
-    });
+    startHttpRequest(
+        m_io, {m_plan.replica(replica), Plan::ControlPort}, request, AskTimeout, [this, now, replica, due](const std::optional<HttpResponse> &reply) {
+            if (const auto held = reply ? routingVersionOf(reply->body) : std::nullopt) {
+                judge(now, replica, due, *held);
+            }
+        });
 }
 
 // Asked only of a replica that was out of trouble for the contact time, and while the others have had a quorum as long.
--- a/soak/target_fleet.cpp
+++ b/soak/target_fleet.cpp
@@ -93,7 +93,7 @@
     target.replica = pick(m_random, m_plan.replicas);
     const Endpoint address = target.record.address;
     m_places[place].target = std::move(target);
-    m_places[place].health = std::make_unique<HttpServer>(m_io, [](const HttpRequest &, const HttpRespond &respond) {
+    m_places[place].health = std::make_unique<HttpServer>(m_io, [](const HttpRequest &, const HttpResponder &respond) {
         constexpr unsigned Ok = 200;
         respond({Ok, "application/json", "{}", {}});
     });
@@ -144,7 +144,7 @@
 void TargetFleet::leave(TimePoint now, Place &place)
 {
     const Endpoint replica{m_plan.replica(place.target->replica), Plan::ControlPort};
-    startHttpCall(m_io, replica, {"DELETE", Platform::targetPath(place.target->record.key), {}, {}, {}}, CallTimeout, [](const auto &) {
+    startHttpRequest(m_io, replica, {"DELETE", Platform::targetPath(place.target->record.key), {}, {}, {}}, CallTimeout, [](const auto &) {
         // A target that ends does not wait for the answer.
     });
     end(place);
@@ -163,14 +163,15 @@
     const std::string &dataCentre = DataCentres[value(target.record.dataCentre) - 1];
     const HttpRequest request{"PUT", Platform::targetPath(target.record.key), {}, {}, Platform::writeAnnouncement(target.record, dataCentre)};
     const TargetPhase phase = target.record.phase;
-    startHttpCall(m_io,
-                  replica,
-                  request,
-                  CallTimeout,
-                  [this, lifetime = TargetLifetime{target.record.key, target.record.born}, index = target.place, phase](const std::optional<HttpReply> &reply) {
-                      constexpr unsigned Ok = 200;
-                      announced(lifetime, index, phase, reply && reply->status == Ok);
-                  });
+    startHttpRequest(
+        m_io,
+        replica,
+        request,
+        CallTimeout,
+        [this, lifetime = TargetLifetime{target.record.key, target.record.born}, index = target.place, phase](const std::optional<HttpResponse> &reply) {
+            constexpr unsigned Ok = 200;
+            announced(lifetime, index, phase, reply && reply->status == Ok);
+        });
 }
 
 void TargetFleet::announced(TargetLifetime lifetime, std::size_t place, TargetPhase phase, bool taken)
--- a/src/api_json.cpp
+++ b/src/api_json.cpp
@@ -235,14 +235,14 @@
     return "unknown";
 }
 
-HttpReply jsonReply(const Json &body, unsigned status)
+HttpResponse jsonResponse(const Json &body, unsigned status)
 {
     return {status, "application/json", body.dump() + "\n"};
 }
 
-HttpReply errorReply(unsigned status, std::string_view error, std::string_view detail)
+HttpResponse errorResponse(unsigned status, std::string_view error, std::string_view detail)
 {
-    return jsonReply({{"error", error}, {"detail", detail}}, status);
+    return jsonResponse({{"error", error}, {"detail", detail}}, status);
 }
 
 } // namespace Robinrail
--- a/src/api_json.h
+++ b/src/api_json.h
@@ -32,9 +32,9 @@
 std::string_view nameOf(TargetState state);
 std::string_view nameOf(RaftRole role);
 
-HttpReply jsonReply(const nlohmann::json &body, unsigned status = 200);
+HttpResponse jsonResponse(const nlohmann::json &body, unsigned status = 200);
 
 // An error in the form that all errors of the API have: {"error": …, "detail": …}.
-HttpReply errorReply(unsigned status, std::string_view error, std::string_view detail = {});
+HttpResponse errorResponse(unsigned status, std::string_view error, std::string_view detail = {});
 
 } // namespace Robinrail
--- a/src/balancer_api.cpp
+++ b/src/balancer_api.cpp
@@ -48,19 +48,19 @@
     }
 }
 
-void BalancerDaemon::handleHttp(const HttpRequest &request, const HttpRespond &respond)
+void BalancerDaemon::handleHttp(const HttpRequest &request, const HttpResponder &respond)
 {
     if (request.path == "/healthz") {
-        return respond(jsonReply({{"status", "ok"}}));
+        return respond(jsonResponse({{"status", "ok"}}));
     }
     if (request.path == "/readyz") {
-        return respond(jsonReply({{"ready", m_core.ready()}}, m_core.ready() ? 200 : HttpUnavailable));
+        return respond(jsonResponse({{"ready", m_core.ready()}}, m_core.ready() ? 200 : HttpUnavailable));
     }
     if (request.path == "/metrics") {
         return respond(metrics());
     }
     if (request.token != m_file.adminToken) {
-        return respond(errorReply(HttpUnauthorized, "unauthorized", "send the admin token as a bearer token"));
+        return respond(errorResponse(HttpUnauthorized, "unauthorized", "send the admin token as a bearer token"));
     }
     if (request.method == "POST" && request.path == "/v1/drain") {
         return respond(drain(request));
@@ -68,10 +68,10 @@
     if (request.method == "POST" && request.path == "/v1/test/drop" && m_testFaults) {
         return respond(setTestFaults(request));
     }
-    respond(request.method == "GET" ? read(request) : errorReply(HttpNotFound, "not-found", request.path));
+    respond(request.method == "GET" ? read(request) : errorResponse(HttpNotFound, "not-found", request.path));
 }
 
-HttpReply BalancerDaemon::read(const HttpRequest &request)
+HttpResponse BalancerDaemon::read(const HttpRequest &request)
 {
     constexpr std::string_view FlowPrefix = "/v1/flows/";
     const TimePoint now = monotonicNow();
@@ -83,13 +83,13 @@
         for (const Target &target : std::as_const(m_core.context().targets).targets()) {
             list.push_back(toApi(target, now));
         }
-        return jsonReply(list);
+        return jsonResponse(list);
     }
     if (request.path == "/v1/peers") {
         for (const Peer &peer : std::as_const(m_core.context().peers).peers()) {
             list.push_back(toApi(peer, now));
         }
-        return jsonReply(list);
+        return jsonResponse(list);
     }
     if (request.path == "/v1/events") {
         return events(request);
@@ -97,10 +97,10 @@
     if (request.path.starts_with(FlowPrefix)) {
         return explainFlow(std::string_view(request.path).substr(FlowPrefix.size()));
     }
-    return errorReply(HttpNotFound, "not-found", request.path);
+    return errorResponse(HttpNotFound, "not-found", request.path);
 }
 
-HttpReply BalancerDaemon::status()
+HttpResponse BalancerDaemon::status()
 {
     BalancerContext &context = m_core.context();
     const Counters &counters = context.counters;
@@ -112,26 +112,26 @@
     for (std::size_t i = 0; i < counters.outcomes.size(); ++i) {
         outcomes[std::string(nameOf(static_cast<Outcome>(i)))] = counters.outcomes[i];
     }
-    return jsonReply({{"balancer", value(m_file.balancer)},
-                      {"incarnation", value(m_memory.incarnation)},
-                      {"dataCentre", m_file.dataCentre},
-                      {"ready", m_core.ready()},
-                      {"stopping", context.peers.stopping()},
-                      {"version", m_rollout.version()},
-                      {"confirmed", m_rollout.confirmed(monotonicNow())},
-                      {"flows", context.flows.size()},
-                      {"flowsOpened", counters.flowsOpened},
-                      {"flowsAdopted", counters.flowsAdopted},
-                      {"feedRebinds", counters.feedRebinds},
-                      {"queued", queues},
-                      {"outcomes", outcomes},
-                      {"retries", counters.retries},
-                      {"offloaded", counters.attemptsOffloaded},
-                      {"controlBytes", m_controlBytes},
-                      {"relayBytes", m_relayBytes}});
+    return jsonResponse({{"balancer", value(m_file.balancer)},
+                         {"incarnation", value(m_memory.incarnation)},
+                         {"dataCentre", m_file.dataCentre},
+                         {"ready", m_core.ready()},
+                         {"stopping", context.peers.stopping()},
+                         {"version", m_rollout.version()},
+                         {"confirmed", m_rollout.confirmed(monotonicNow())},
+                         {"flows", context.flows.size()},
+                         {"flowsOpened", counters.flowsOpened},
+                         {"flowsAdopted", counters.flowsAdopted},
+                         {"feedRebinds", counters.feedRebinds},
+                         {"queued", queues},
+                         {"outcomes", outcomes},
+                         {"retries", counters.retries},
+                         {"offloaded", counters.attemptsOffloaded},
+                         {"controlBytes", m_controlBytes},
+                         {"relayBytes", m_relayBytes}});
 }
 
-HttpReply BalancerDaemon::events(const HttpRequest &request) const
+HttpResponse BalancerDaemon::events(const HttpRequest &request) const
 {
     constexpr std::size_t MaxAtOnce = 1000;
     const std::uint64_t after = std::strtoull(queryValue(request.query, "after").c_str(), nullptr, 10);
@@ -143,11 +143,11 @@
             list.push_back(toApi(event, number));
         }
     }
-    return jsonReply(list);
+    return jsonResponse(list);
 }
 
 // A number names a flow that this balancer may own; a sealed id in hex is opened first.
-HttpReply BalancerDaemon::explainFlow(std::string_view id)
+HttpResponse BalancerDaemon::explainFlow(std::string_view id)
 {
     BalancerContext &context = m_core.context();
     Json body;
@@ -156,7 +156,7 @@
     if (fromHex(id, sealed)) {
         const std::optional<ConnectionId> opened = context.sealer.open(sealed);
         if (!opened) {
-            return errorReply(HttpNotFound, "forged-id", "the key version is unknown or the MAC does not match");
+            return errorResponse(HttpNotFound, "forged-id", "the key version is unknown or the MAC does not match");
         }
         const std::optional<BalancerKey> owner = context.peers.resolve(opened->owner);
         body["service"] = value(opened->service);
@@ -179,42 +179,42 @@
         body["highestRequest"] = flow->window.highest();
         body["requestsOpen"] = flow->busy;
     }
-    return jsonReply(body);
+    return jsonResponse(body);
 }
 
 // Drains this balancer, or marks a target as draining here, from where gossip carries it on. Signed by
 // an operator for this run of this balancer, so that an old order can't be played again.
-HttpReply BalancerDaemon::drain(const HttpRequest &request)
+HttpResponse BalancerDaemon::drain(const HttpRequest &request)
 {
     const std::optional<SignedChange> order = signedChangeFromApi(request.body);
     const auto content = order ? decodeMessage<std::variant<DrainOrder>>(order->content) : std::nullopt;
     if (!content) {
-        return errorReply(HttpBadRequest, "malformed-order", "see docs/API.md");
+        return errorResponse(HttpBadRequest, "malformed-order", "see docs/API.md");
     }
     const DrainOrder &drain = std::get<DrainOrder>(*content);
     const bool signedByOperator = std::any_of(m_rollout.operators().begin(), m_rollout.operators().end(), [&](const OperatorRecord &record) {
         return record.name == order->operatorName && !record.revoked && verify(signedBytes(*order), order->signature, record.key);
     });
     if (!signedByOperator || drain.balancer != BalancerKey{m_file.balancer, m_memory.incarnation}) {
-        return errorReply(HttpForbidden, "not-permitted", "signature, operator or incarnation does not fit");
+        return errorResponse(HttpForbidden, "not-permitted", "signature, operator or incarnation does not fit");
     }
     LogLine(LogLevel::Info, "drain-ordered").with("operator", order->operatorName).with("target", value(drain.target));
     if (value(drain.target) == 0) {
         stop();
-        return jsonReply({{"draining", "balancer"}});
+        return jsonResponse({{"draining", "balancer"}});
     }
     const Target *target = m_core.context().targets.find(drain.target);
     if (target == nullptr) {
-        return errorReply(HttpNotFound, "unknown-target");
+        return errorResponse(HttpNotFound, "unknown-target");
     }
     Announcement announcement = target->announcement;
     announcement.draining = true;
     m_core.handleTarget(monotonicNow(), announcement.endpoint, announcement);
     flush();
-    return jsonReply({{"draining", value(drain.target)}});
+    return jsonResponse({{"draining", value(drain.target)}});
 }
 
-HttpReply BalancerDaemon::metrics()
+HttpResponse BalancerDaemon::metrics()
 {
     const BalancerContext &context = m_core.context();
     const Counters &counters = context.counters;
@@ -245,18 +245,18 @@
     return {200, "text/plain; version=0.0.4", text.text()};
 }
 
-HttpReply BalancerDaemon::setTestFaults(const HttpRequest &request)
+HttpResponse BalancerDaemon::setTestFaults(const HttpRequest &request)
 {
     const Json body = Json::parse(request.body, nullptr, false);
     if (!body.is_object()) {
-        return errorReply(HttpBadRequest, "malformed");
+        return errorResponse(HttpBadRequest, "malformed");
     }
     m_links.dropTraffic(PeerRole::Control, body.value("replicas", std::set<std::uint16_t>()));
     m_droppedPeers.clear();
     for (const std::uint16_t id : body.value("balancers", std::vector<std::uint16_t>())) {
         m_droppedPeers.insert(BalancerId{id});
     }
-    return jsonReply({{"status", "ok"}});
+    return jsonResponse({{"status", "ok"}});
 }
 
 } // namespace Robinrail
--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -80,7 +80,7 @@
                },
                [](LinkHandle, const Hello &) {}})
     , m_http(io,
-             [this](const HttpRequest &request, const HttpRespond &respond) {
+             [this](const HttpRequest &request, const HttpResponder &respond) {
                  handleHttp(request, respond);
              })
     , m_timer(io)
--- a/src/balancer_daemon.h
+++ b/src/balancer_daemon.h
@@ -80,14 +80,14 @@
     void subscribe(LinkHandle link);
 
     void observe(const Event &event);
-    void handleHttp(const HttpRequest &request, const HttpRespond &respond);
-    HttpReply read(const HttpRequest &request);
-    HttpReply drain(const HttpRequest &request);
-    HttpReply explainFlow(std::string_view id);
-    HttpReply events(const HttpRequest &request) const;
-    HttpReply status();
-    HttpReply metrics();
-    HttpReply setTestFaults(const HttpRequest &request);
+    void handleHttp(const HttpRequest &request, const HttpResponder &respond);
+    HttpResponse read(const HttpRequest &request);
+    HttpResponse drain(const HttpRequest &request);
+    HttpResponse explainFlow(std::string_view id);
+    HttpResponse events(const HttpRequest &request) const;
+    HttpResponse status();
+    HttpResponse metrics();
+    HttpResponse setTestFaults(const HttpRequest &request);
 
     boost::asio::io_context &m_io;
     std::filesystem::path m_settingsPath;
--- a/src/control_daemon.cpp
+++ b/src/control_daemon.cpp
@@ -32,7 +32,7 @@
                    }
                }})
     , m_http(io,
-             [this](const HttpRequest &request, const HttpRespond &respond) {
+             [this](const HttpRequest &request, const HttpResponder &respond) {
                  handleHttp(request, respond);
              })
     , m_timer(io)
--- a/src/control_daemon.h
+++ b/src/control_daemon.h
@@ -34,8 +34,8 @@
 
 private:
     struct OpenRequest {
-        HttpRespond respond;
-        std::function<HttpReply()> answer; // Of a read, once it is confirmed.
+        HttpResponder respond;
+        std::function<HttpResponse()> answer; // Of a read, once it is confirmed.
     };
 
     void tick();
@@ -51,14 +51,14 @@
     void onMessage(LinkHandle link, const Hello &peer, const LinkMessage &message);
     void onRaft(const RaftEnvelope &envelope);
 
-    void handleHttp(const HttpRequest &request, const HttpRespond &respond);
-    void handleRead(const HttpRequest &request, const HttpRespond &respond);
-    void submitChange(const HttpRequest &request, const HttpRespond &respond);
-    HttpReply readState(const HttpRequest &request) const;
-    HttpReply status() const;
-    HttpReply metrics() const;
-    HttpReply setTestFaults(const HttpRequest &request);
-    HttpReply notLeader() const;
+    void handleHttp(const HttpRequest &request, const HttpResponder &respond);
+    void handleRead(const HttpRequest &request, const HttpResponder &respond);
+    void submitChange(const HttpRequest &request, const HttpResponder &respond);
+    HttpResponse readState(const HttpRequest &request) const;
+    HttpResponse status() const;
+    HttpResponse metrics() const;
+    HttpResponse setTestFaults(const HttpRequest &request);
+    HttpResponse notLeader() const;
 
     boost::asio::io_context &m_io;
     ControlFile m_file;
--- a/src/control_daemon_api.cpp
+++ b/src/control_daemon_api.cpp
@@ -24,20 +24,20 @@
 
 } // namespace
 
-void ControlDaemon::handleHttp(const HttpRequest &request, const HttpRespond &respond)
+void ControlDaemon::handleHttp(const HttpRequest &request, const HttpResponder &respond)
 {
     if (request.path == "/healthz") {
-        return respond(jsonReply({{"status", "ok"}}));
+        return respond(jsonResponse({{"status", "ok"}}));
     }
     if (request.path == "/readyz") {
         const bool ready = m_driver.core().raft().inContact(monotonicNow());
-        return respond(jsonReply({{"ready", ready}}, ready ? 200 : HttpUnavailable));
+        return respond(jsonResponse({{"ready", ready}}, ready ? 200 : HttpUnavailable));
     }
     if (request.path == "/metrics") {
         return respond(metrics());
     }
     if (request.token != m_file.adminToken) {
-        return respond(errorReply(HttpUnauthorized, "unauthorized", "send the admin token as a bearer token"));
+        return respond(errorResponse(HttpUnauthorized, "unauthorized", "send the admin token as a bearer token"));
     }
     if (request.path == "/v1/status") {
         return respond(status());
@@ -51,14 +51,14 @@
     if (request.method == "GET") {
         return handleRead(request, respond);
     }
-    respond(errorReply(HttpNotFound, "not-found", request.path));
+    respond(errorResponse(HttpNotFound, "not-found", request.path));
 }
 
-void ControlDaemon::submitChange(const HttpRequest &request, const HttpRespond &respond)
+void ControlDaemon::submitChange(const HttpRequest &request, const HttpResponder &respond)
 {
     std::optional<SignedChange> change = signedChangeFromApi(request.body);
     if (!change) {
-        return respond(errorReply(HttpBadRequest, "malformed-change", "see docs/API.md"));
+        return respond(errorResponse(HttpBadRequest, "malformed-change", "see docs/API.md"));
     }
     change->receivedAt = wallClockSeconds();
     m_open[++m_lastTicket] = {respond, {}};
@@ -67,7 +67,7 @@
 }
 
 // Reads are linearizable: they are answered only once a quorum confirmed that this replica still leads.
-void ControlDaemon::handleRead(const HttpRequest &request, const HttpRespond &respond)
+void ControlDaemon::handleRead(const HttpRequest &request, const HttpResponder &respond)
 {
     if (queryValue(request.query, "stale") == "true") {
         return respond(readState(request));
@@ -91,7 +91,7 @@
     case ControlStatus::NotLeader:
         return open.respond(notLeader());
     case ControlStatus::Unknown:
-        return open.respond(errorReply(HttpUnavailable, "outcome-unknown", "send the same change again"));
+        return open.respond(errorResponse(HttpUnavailable, "outcome-unknown", "send the same change again"));
     case ControlStatus::Done:
         break;
     }
@@ -99,10 +99,10 @@
         return open.respond(open.answer());
     }
     const bool refused = answer.result.refusal != ChangeRefusal::None;
-    open.respond(jsonReply(toApi(answer.result), refused ? HttpConflict : 200));
+    open.respond(jsonResponse(toApi(answer.result), refused ? HttpConflict : 200));
 }
 
-HttpReply ControlDaemon::notLeader() const
+HttpResponse ControlDaemon::notLeader() const
 {
     Json body = {{"error", "not-leader"}, {"detail", "ask the leader"}};
     for (const ReplicaAddress &replica : m_file.replicas) {
@@ -110,10 +110,10 @@
             body["leader"] = toText(replica.admin);
         }
     }
-    return jsonReply(body, HttpUnavailable);
+    return jsonResponse(body, HttpUnavailable);
 }
 
-HttpReply ControlDaemon::readState(const HttpRequest &request) const
+HttpResponse ControlDaemon::readState(const HttpRequest &request) const
 {
     const ControlState &state = m_driver.core().state();
     Json body = Json::array();
@@ -121,13 +121,13 @@
         const std::string wanted = queryValue(request.query, "version");
         const std::uint64_t number = wanted.empty() ? state.latestVersion() : std::strtoull(wanted.c_str(), nullptr, 10);
         const BundleVersion *version = state.find(number);
-        return version != nullptr ? jsonReply(toApi(*version, true)) : errorReply(HttpNotFound, "no-such-version");
+        return version != nullptr ? jsonResponse(toApi(*version, true)) : errorResponse(HttpNotFound, "no-such-version");
     }
     if (request.path == "/v1/history") {
         for (const BundleVersion &version : state.history()) {
             body.push_back(toApi(version, false));
         }
-        return jsonReply(body);
+        return jsonResponse(body);
     }
     if (request.path == "/v1/audit") {
         const std::uint64_t after = std::strtoull(queryValue(request.query, "after").c_str(), nullptr, 10);
@@ -136,32 +136,32 @@
                 body.push_back(toApi(record));
             }
         }
-        return jsonReply(body);
+        return jsonResponse(body);
     }
     if (request.path == "/v1/operators") {
         for (const OperatorRecord &record : state.operators()) {
             body.push_back(toApi(record));
         }
-        return jsonReply(body);
+        return jsonResponse(body);
     }
     if (request.path == "/v1/proposals") {
         for (const Proposal &proposal : state.proposals()) {
             body.push_back(toApi(proposal));
         }
-        return jsonReply(body);
+        return jsonResponse(body);
     }
     if (request.path == "/v1/rollout") {
         if (state.history().empty()) {
-            return errorReply(HttpNotFound, "no-such-version");
+            return errorResponse(HttpNotFound, "no-such-version");
         }
         const BundleVersion &newest = state.history().back();
         const RolloutTracker::Progress progress = m_tracker.progress(newest);
-        return jsonReply({{"version", newest.version}, {"stage", nameOf(newest.stage)}, {"inForce", progress.inForce}, {"expected", progress.expected}});
+        return jsonResponse({{"version", newest.version}, {"stage", nameOf(newest.stage)}, {"inForce", progress.inForce}, {"expected", progress.expected}});
     }
-    return errorReply(HttpNotFound, "not-found", request.path);
+    return errorResponse(HttpNotFound, "not-found", request.path);
 }
 
-HttpReply ControlDaemon::status() const
+HttpResponse ControlDaemon::status() const
 {
     const RaftCore &raft = m_driver.core().raft();
     Json members = Json::array();
@@ -175,21 +175,21 @@
                              {"version", subscriber.version},
                              {"connected", subscriber.connected}});
     }
-    return jsonReply({{"replica", value(m_file.replica)},
-                      {"disk", raft.self().disk},
-                      {"role", nameOf(raft.role())},
-                      {"leader", value(raft.leader().id)},
-                      {"term", value(raft.term())},
-                      {"commitIndex", value(raft.commitIndex())},
-                      {"lastIndex", value(raft.lastIndex())},
-                      {"inContact", raft.inContact(monotonicNow())},
-                      {"version", m_driver.core().state().latestVersion()},
-                      {"members", members},
-                      {"configCommitted", raft.configCommitted()},
-                      {"balancers", balancers}});
+    return jsonResponse({{"replica", value(m_file.replica)},
+                         {"disk", raft.self().disk},
+                         {"role", nameOf(raft.role())},
+                         {"leader", value(raft.leader().id)},
+                         {"term", value(raft.term())},
+                         {"commitIndex", value(raft.commitIndex())},
+                         {"lastIndex", value(raft.lastIndex())},
+                         {"inContact", raft.inContact(monotonicNow())},
+                         {"version", m_driver.core().state().latestVersion()},
+                         {"members", members},
+                         {"configCommitted", raft.configCommitted()},
+                         {"balancers", balancers}});
 }
 
-HttpReply ControlDaemon::metrics() const
+HttpResponse ControlDaemon::metrics() const
 {
     const RaftCore &raft = m_driver.core().raft();
     MetricsText text;
@@ -204,15 +204,15 @@
     return {200, "text/plain; version=0.0.4", text.text()};
 }
 
-HttpReply ControlDaemon::setTestFaults(const HttpRequest &request)
+HttpResponse ControlDaemon::setTestFaults(const HttpRequest &request)
 {
     const Json body = Json::parse(request.body, nullptr, false);
     if (!body.is_object()) {
-        return errorReply(HttpBadRequest, "malformed");
+        return errorResponse(HttpBadRequest, "malformed");
     }
     m_links.dropTraffic(PeerRole::Control, body.value("replicas", std::set<std::uint16_t>()));
     m_links.dropTraffic(PeerRole::Balancer, body.value("balancers", std::set<std::uint16_t>()));
-    return jsonReply({{"status", "ok"}});
+    return jsonResponse({{"status", "ok"}});
 }
 
 } // namespace Robinrail
--- a/src/http.cpp
+++ b/src/http.cpp
@@ -104,12 +104,12 @@
 
     void handle()
     {
-        m_handler(unpack(m_parser->get()), [self = shared_from_this()](HttpReply reply) {
+        m_handler(unpack(m_parser->get()), [self = shared_from_this()](HttpResponse reply) {
             self->answer(std::move(reply));
         });
     }
 
-    void answer(HttpReply reply)
+    void answer(HttpResponse reply)
     {
         m_response = {};
         m_response.result(reply.status);
@@ -145,7 +145,7 @@
 class Call : public std::enable_shared_from_this<Call>
 {
 public:
-    Call(boost::asio::io_context &io, const HttpRequest &request, HttpDone done)
+    Call(boost::asio::io_context &io, const HttpRequest &request, HttpCallback done)
         : m_stream(io)
         , m_done(std::move(done))
     {
@@ -185,9 +185,9 @@
         });
     }
 
-    HttpReply reply()
+    HttpResponse reply()
     {
-        HttpReply reply;
+        HttpResponse reply;
         reply.status = m_response.result_int();
         reply.contentType = std::string(m_response[http::field::content_type]);
         reply.location = std::string(m_response[http::field::location]);
@@ -199,7 +199,7 @@
     beast::flat_buffer m_buffer;
     http::request<http::string_body> m_request;
     http::response<http::string_body> m_response;
-    HttpDone m_done;
+    HttpCallback m_done;
 };
 
 } // namespace
@@ -264,16 +264,16 @@
     });
 }
 
-void startHttpCall(boost::asio::io_context &io, Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout, HttpDone done)
+void startHttpRequest(boost::asio::io_context &io, Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout, HttpCallback done)
 {
     std::make_shared<Call>(io, request, std::move(done))->start(endpoint, timeout);
 }
 
-std::optional<HttpReply> httpCall(Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout)
+std::optional<HttpResponse> sendHttpRequest(Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout)
 {
     boost::asio::io_context io;
-    std::optional<HttpReply> answer;
-    startHttpCall(io, endpoint, request, timeout, [&answer](std::optional<HttpReply> reply) {
+    std::optional<HttpResponse> answer;
+    startHttpRequest(io, endpoint, request, timeout, [&answer](std::optional<HttpResponse> reply) {
         answer = std::move(reply);
     });
     io.run();
--- a/src/http.h
+++ b/src/http.h
@@ -36,7 +36,7 @@
     std::string body;
 };
 
-struct HttpReply {
+struct HttpResponse {
     unsigned status = 200;
     std::string contentType = "application/json";
     std::string body;
@@ -44,8 +44,8 @@
     bool last = false; // The client will not ask here again: its connection is closed behind the answer.
 };
 
-using HttpRespond = std::function<void(HttpReply)>;
-using HttpHandler = std::function<void(const HttpRequest &, HttpRespond)>;
+using HttpResponder = std::function<void(HttpResponse)>;
+using HttpHandler = std::function<void(const HttpRequest &, HttpResponder)>;
 
 namespace detail {
 
@@ -81,13 +81,13 @@
 };
 
 // The answer to a call; empty if the server gave none in time.
-using HttpDone = std::function<void(std::optional<HttpReply>)>;
+using HttpCallback = std::function<void(std::optional<HttpResponse>)>;
 
 // Sends one request; `done` runs once, from within `io`.
-void startHttpCall(boost::asio::io_context &io, Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout, HttpDone done);
+void startHttpRequest(boost::asio::io_context &io, Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout, HttpCallback done);
 
 // Sends one request and waits for the answer; empty if the server can't be reached in time.
-std::optional<HttpReply> httpCall(Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout);
+std::optional<HttpResponse> sendHttpRequest(Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout);
 
 // The value of a key in a query; empty without it.
 std::string queryValue(std::string_view query, std::string_view key);
--- a/src/operator_client.cpp
+++ b/src/operator_client.cpp
@@ -141,7 +141,7 @@
     std::string last = "no control replica answers";
     while (std::chrono::steady_clock::now() < giveUpAt) {
         for (const Endpoint &endpoint : m_config.control) {
-            const std::optional<HttpReply> reply = httpCall(endpoint, request, CallTimeout);
+            const std::optional<HttpResponse> reply = sendHttpRequest(endpoint, request, CallTimeout);
             if (!reply || reply->status == HttpUnavailable) {
                 last = reply ? reply->body : last;
                 continue;
@@ -159,7 +159,7 @@
 leaf::result<Json> OperatorClient::callBalancer(
     const BalancerAddress &balancer, const std::string &method, const std::string &path, const std::string &query, const std::string &body)
 {
-    const std::optional<HttpReply> reply = httpCall(balancer.admin, {method, path, query, m_config.token, body}, CallTimeout);
+    const std::optional<HttpResponse> reply = sendHttpRequest(balancer.admin, {method, path, query, m_config.token, body}, CallTimeout);
     if (!reply) {
         return fault(ClientError::Unreachable, "balancer " + std::to_string(value(balancer.id)) + " does not answer");
     }
--- a/src/operator_commands.cpp
+++ b/src/operator_commands.cpp
@@ -257,7 +257,7 @@
     BOOST_LEAF_AUTO(client, makeClient(arguments));
     Json rows = Json::array();
     for (const Endpoint &endpoint : client.config().control) {
-        const std::optional<HttpReply> reply = httpCall(endpoint, {"GET", "/v1/status", {}, client.config().token, {}}, std::chrono::seconds(1));
+        const std::optional<HttpResponse> reply = sendHttpRequest(endpoint, {"GET", "/v1/status", {}, client.config().token, {}}, std::chrono::seconds(1));
         Json row = reply ? Json::parse(reply->body, nullptr, false) : Json({{"error", "does not answer"}});
         row.erase("balancers");
         rows.push_back(std::move(row));
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -69,7 +69,7 @@
 {
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
-    HttpServer server(io, [](const HttpRequest &request, const HttpRespond &respond) {
+    HttpServer server(io, [](const HttpRequest &request, const HttpResponder &respond) {
         respond({200, "text/plain", "at " + request.path, {}});
     });
     REQUIRE(server.listen({Loopback, port}));
@@ -93,10 +93,10 @@
     constexpr std::size_t Most = 8;
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
-    std::vector<HttpRespond> due;
+    std::vector<HttpResponder> due;
     HttpServer server(
         io,
-        [&due](const HttpRequest &request, const HttpRespond &respond) {
+        [&due](const HttpRequest &request, const HttpResponder &respond) {
             request.path == "/slow" ? due.push_back(respond) : respond({200, "text/plain", "at " + request.path, {}});
         },
         Most);
@@ -130,8 +130,8 @@
 {
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
-    HttpServer server(io, [](const HttpRequest &, const HttpRespond &respond) {
-        HttpReply reply{200, "text/plain", "go on there", {}};
+    HttpServer server(io, [](const HttpRequest &, const HttpResponder &respond) {
+        HttpResponse reply{200, "text/plain", "go on there", {}};
         reply.last = true;
         respond(reply);
     });
