--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -310,7 +310,7 @@
     });
     report("checking a bundle", "us", "service", {10, 100, 500, 1000}, [](double size) {
         const std::string text = bundleOf(static_cast<int>(size));
-        JsonFault fault;
+        JsonError fault;
         return microsecondsOf(
             [&] {
                 parseBundle(text, fault);
--- a/fuzz/fuzz_bundle.cpp
+++ b/fuzz/fuzz_bundle.cpp
@@ -9,7 +9,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
-    JsonFault fault;
+    JsonError fault;
     parseBundle({reinterpret_cast<const char *>(data), size}, fault);
     return 0;
 }
--- a/src/bundle.cpp
+++ b/src/bundle.cpp
@@ -96,7 +96,7 @@
     return text.size() > MaxValue ? text.substr(0, MaxValue) + "..." : text;
 }
 
-bool unique(const Json &list, const char *key, const char *pointer, JsonFault &fault)
+bool unique(const Json &list, const char *key, const char *pointer, JsonError &fault)
 {
     std::set<std::string> seen;
     for (const Json &entry : list) {
@@ -110,12 +110,12 @@
 
 } // namespace
 
-std::string JsonFault::text() const
+std::string JsonError::text() const
 {
     return "at " + (pointer.empty() ? std::string("/") : pointer) + ": found " + found + ", expected " + expected;
 }
 
-std::optional<Json> parseStrictJson(std::string_view text, JsonFault &fault)
+std::optional<Json> parseStrictJson(std::string_view text, JsonError &fault)
 {
     Json document;
     StrictBuilder builder(document);
@@ -131,7 +131,7 @@
     return document;
 }
 
-bool matchesSchema(const Json &document, std::string_view schemaText, JsonFault &fault)
+bool matchesSchema(const Json &document, std::string_view schemaText, JsonError &fault)
 {
     const Json schemaJson = Json::parse(schemaText);
     valijson::Schema schema;
@@ -155,7 +155,7 @@
     return false;
 }
 
-std::optional<Bundle> parseBundle(std::string_view text, JsonFault &fault)
+std::optional<Bundle> parseBundle(std::string_view text, JsonError &fault)
 {
     const std::optional<Json> document = parseStrictJson(text, fault);
     if (!document || !matchesSchema(*document, bundleSchema(), fault)) {
--- a/src/bundle.h
+++ b/src/bundle.h
@@ -14,7 +14,7 @@
 namespace Robinrail {
 
 // What is wrong with a JSON document: where, what was found, and what was expected.
-struct JsonFault {
+struct JsonError {
     std::string pointer;
     std::string found;
     std::string expected;
@@ -40,10 +40,10 @@
 };
 
 // Parses JSON strictly: a duplicate key is an error, and so is anything after the document.
-std::optional<nlohmann::json> parseStrictJson(std::string_view text, JsonFault &fault);
+std::optional<nlohmann::json> parseStrictJson(std::string_view text, JsonError &fault);
 
 // Checks a document against one of the published schemas in schemas/.
-bool matchesSchema(const nlohmann::json &document, std::string_view schema, JsonFault &fault);
+bool matchesSchema(const nlohmann::json &document, std::string_view schema, JsonError &fault);
 
 // The published schemas.
 std::string_view bundleSchema();
@@ -52,6 +52,6 @@
 std::string_view steeringSettingsSchema();
 
 // Parses and checks a bundle text; empty with `fault` set if it is not valid.
-std::optional<Bundle> parseBundle(std::string_view text, JsonFault &fault);
+std::optional<Bundle> parseBundle(std::string_view text, JsonError &fault);
 
 } // namespace Robinrail
--- a/src/control_state.cpp
+++ b/src/control_state.cpp
@@ -125,7 +125,7 @@
     if (propose.bundle.size() > MaxBundleSize) {
         return refused(ChangeRefusal::InvalidBundle, "larger than " + std::to_string(MaxBundleSize) + " bytes");
     }
-    JsonFault fault;
+    JsonError fault;
     if (!parseBundle(propose.bundle, fault)) {
         return refused(ChangeRefusal::InvalidBundle, fault.text());
     }
@@ -168,7 +168,7 @@
     if (result.approvals < result.approvalsRequired) {
         return result;
     }
-    JsonFault fault;
+    JsonError fault;
     const std::optional<Bundle> bundle = parseBundle(proposal.text, fault);
     BundleVersion version;
     version.version = latestVersion() + 1;
@@ -244,7 +244,7 @@
     if (m_history.empty()) {
         return 1;
     }
-    JsonFault fault;
+    JsonError fault;
     const std::optional<Bundle> bundle = parseBundle(m_history.back().text, fault);
     return bundle ? bundle->policy.approvals : 1;
 }
--- a/src/operator_client.cpp
+++ b/src/operator_client.cpp
@@ -31,7 +31,7 @@
 
 leaf::error_id fault(ClientError error, std::string text)
 {
-    return leaf::new_error(error, ClientFault{std::move(text)});
+    return leaf::new_error(error, ClientErrorMessage{std::move(text)});
 }
 
 leaf::result<std::string> readText(const std::filesystem::path &path)
@@ -54,7 +54,7 @@
 leaf::result<ClientConfig> loadClientConfig(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(text, readText(path));
-    JsonFault jsonFault;
+    JsonError jsonFault;
     const std::optional<Json> document = parseStrictJson(text, jsonFault);
     if (!document) {
         return fault(ClientError::BadConfig, path.string() + ": " + jsonFault.text());
--- a/src/operator_client.h
+++ b/src/operator_client.h
@@ -21,7 +21,7 @@
     Refused, // The server refused; the body says why.
 };
 
-struct ClientFault {
+struct ClientErrorMessage {
     std::string text;
 };
 
--- a/src/operator_commands.cpp
+++ b/src/operator_commands.cpp
@@ -26,7 +26,7 @@
 
 leaf::error_id badInput(std::string text)
 {
-    return leaf::new_error(ClientError::BadInput, ClientFault{std::move(text)});
+    return leaf::new_error(ClientError::BadInput, ClientErrorMessage{std::move(text)});
 }
 
 bool given(const CommandArguments &arguments, const std::string &name)
@@ -102,7 +102,7 @@
 leaf::result<std::string> checkedBundle(const std::string &path)
 {
     BOOST_LEAF_AUTO(text, readInput(path));
-    JsonFault fault;
+    JsonError fault;
     if (!parseBundle(text, fault)) {
         return badInput(path + ": " + fault.text());
     }
@@ -241,7 +241,7 @@
             [&] {
                 return client.callBalancer(balancer, "GET", path, query);
             },
-            [](const ClientFault &fault) {
+            [](const ClientErrorMessage &fault) {
                 return Json({{"error", fault.text}});
             },
             [] {
@@ -451,7 +451,7 @@
         [&] {
             return dispatch(arguments);
         },
-        [](ClientError error, const ClientFault &fault) {
+        [](ClientError error, const ClientErrorMessage &fault) {
             std::cerr << fault.text << (fault.text.ends_with('\n') ? "" : "\n");
             switch (error) {
             case ClientError::Unreachable:
--- a/src/rollout.cpp
+++ b/src/rollout.cpp
@@ -41,7 +41,7 @@
 
 bool RolloutAgent::restore(std::uint64_t version, std::string_view text)
 {
-    JsonFault fault;
+    JsonError fault;
     const std::optional<Bundle> bundle = parseBundle(text, fault);
     if (!bundle) {
         return false;
@@ -72,7 +72,7 @@
             return OfferEffect::Damaged;
         }
     }
-    JsonFault fault;
+    JsonError fault;
     const std::optional<Bundle> bundle = parseBundle(document.dump(), fault);
     if (!bundle || digestOf(document) != offer.digest) {
         return OfferEffect::Damaged;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-leaf::error_id invalid(const std::filesystem::path &path, JsonFault fault)
+leaf::error_id invalid(const std::filesystem::path &path, JsonError fault)
 {
     return leaf::new_error(SettingsError::Invalid, SettingsFault{path.string(), std::move(fault)});
 }
@@ -37,7 +37,7 @@
     if (!bytes) {
         return leaf::new_error(SettingsError::Unreadable, SettingsFault{path.string(), {"", "no readable file", "a settings file"}});
     }
-    JsonFault fault;
+    JsonError fault;
     const std::optional<Json> document = parseStrictJson({reinterpret_cast<const char *>(bytes->data()), bytes->size()}, fault);
     if (!document || !matchesSchema(*document, schema, fault)) {
         return invalid(path, std::move(fault));
@@ -81,18 +81,18 @@
     void fail(const std::string &pointer, std::string found, std::string expected)
     {
         if (!m_fault) {
-            m_fault = JsonFault{pointer, std::move(found), std::move(expected)};
+            m_fault = JsonError{pointer, std::move(found), std::move(expected)};
         }
     }
 
-    const std::optional<JsonFault> &fault() const
+    const std::optional<JsonError> &fault() const
     {
         return m_fault;
     }
 
 private:
     const Json &m_document;
-    std::optional<JsonFault> m_fault;
+    std::optional<JsonError> m_fault;
 };
 
 std::string indexed(const char *list, std::size_t index, const char *key)
--- a/src/settings.h
+++ b/src/settings.h
@@ -25,7 +25,7 @@
 // Which file, and what is wrong in it.
 struct SettingsFault {
     std::string file;
-    JsonFault fault;
+    JsonError fault;
 
     std::string text() const;
 };
--- a/tests/test_settings.cpp
+++ b/tests/test_settings.cpp
@@ -103,7 +103,7 @@
 
 std::string bundleFault(const Json &bundle)
 {
-    JsonFault fault;
+    JsonError fault;
     return parseBundle(bundle.dump(), fault) ? std::string() : fault.text();
 }
 
