--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -310,24 +310,24 @@
     if (const auto *offer = std::get_if<BundleOffer>(&message)) {
         takeOffer(link, *offer);
     } else if (const auto *beat = std::get_if<ControlBeat>(&message)) {
-        m_rollout.noteBeat(monotonicNow(), *beat);
+        m_rollout.handleHeartbeat(monotonicNow(), *beat);
     }
 }
 
 void BalancerDaemon::takeOffer(LinkHandle link, const BundleOffer &offer)
 {
     switch (m_rollout.take(offer)) {
-    case OfferEffect::Applied:
+    case OfferResult::Applied:
         if (!keep()) {
             LogLine(LogLevel::Error, "bundle-not-kept").with("version", offer.version);
         }
         applyBundle();
         break;
-    case OfferEffect::NotNewer:
+    case OfferResult::NotNewer:
         break;
-    case OfferEffect::BaseMissing:
+    case OfferResult::BaseMismatch:
         return subscribe(link);
-    case OfferEffect::Damaged:
+    case OfferResult::Damaged:
         LogLine(LogLevel::Error, "bundle-damaged").with("version", offer.version);
         return;
     }
--- a/src/control_daemon.cpp
+++ b/src/control_daemon.cpp
@@ -213,7 +213,7 @@
     if (now < m_nextBeat) {
         return;
     }
-    m_nextBeat = now + ControlBeatInterval;
+    m_nextBeat = now + ControlHeartbeatInterval;
     for (const RolloutTracker::Subscriber &subscriber : m_tracker.subscribers()) {
         const BundleVersion *version = m_driver.core().state().versionFor(subscriber.balancer.id);
         const ControlBeat message{version != nullptr ? version->version : 0, m_driver.core().raft().inContact(now)};
--- a/src/rollout.cpp
+++ b/src/rollout.cpp
@@ -52,39 +52,39 @@
     return true;
 }
 
-OfferEffect RolloutAgent::take(const BundleOffer &offer)
+OfferResult RolloutAgent::take(const BundleOffer &offer)
 {
     if (offer.version <= m_version) {
         m_operators = offer.version == m_version ? offer.operators : m_operators;
-        return OfferEffect::NotNewer;
+        return OfferResult::NotNewer;
     }
     if (offer.baseVersion != 0 && offer.baseVersion != m_version) {
-        return OfferEffect::BaseMissing;
+        return OfferResult::BaseMismatch;
     }
     Json document = Json::parse(offer.document, nullptr, false);
     if (document.is_discarded()) {
-        return OfferEffect::Damaged;
+        return OfferResult::Damaged;
     }
     if (offer.baseVersion != 0) {
         try {
             document = m_document.patch(document);
         } catch (const Json::exception &) {
-            return OfferEffect::Damaged;
+            return OfferResult::Damaged;
         }
     }
     JsonError fault;
     const std::optional<Bundle> bundle = parseBundle(document.dump(), fault);
     if (!bundle || digestOf(document) != offer.digest) {
-        return OfferEffect::Damaged;
+        return OfferResult::Damaged;
     }
     m_version = offer.version;
     m_document = std::move(document);
     m_bundle = *bundle;
     m_operators = offer.operators;
-    return OfferEffect::Applied;
+    return OfferResult::Applied;
 }
 
-void RolloutAgent::noteBeat(TimePoint now, const ControlBeat &beat)
+void RolloutAgent::handleHeartbeat(TimePoint now, const ControlBeat &beat)
 {
     if (beat.inContact) {
         m_lastContact = now;
@@ -115,7 +115,7 @@
 
 bool RolloutAgent::confirmed(TimePoint now) const
 {
-    return m_everContact && now - m_lastContact < ConfirmationTime && m_newestNamed <= m_version && m_version > 0;
+    return m_everContact && now - m_lastContact < ConfirmationTimeout && m_newestNamed <= m_version && m_version > 0;
 }
 
 void RolloutTracker::subscribe(TimePoint now, const Subscribe &subscribe)
--- a/src/rollout.h
+++ b/src/rollout.h
@@ -13,18 +13,18 @@
 namespace Robinrail {
 
 // A replica tells its subscribers this often how things stand.
-inline constexpr Duration ControlBeatInterval = std::chrono::seconds(1);
+inline constexpr Duration ControlHeartbeatInterval = std::chrono::seconds(1);
 
 // Without a replica in contact with a quorum for this long, a balancer calls its version unconfirmed.
-inline constexpr Duration ConfirmationTime = std::chrono::seconds(3);
+inline constexpr Duration ConfirmationTimeout = std::chrono::seconds(3);
 
 // Makes the offer that brings a balancer from version `from` to `to`: a patch if that is shorter.
 BundleOffer makeOffer(const BundleVersion *from, const BundleVersion &to, std::span<const OperatorRecord> operators);
 
-enum class OfferEffect : std::uint8_t {
+enum class OfferResult : std::uint8_t {
     Applied,
     NotNewer, // Of the version in force or below: nothing ever goes back.
-    BaseMissing, // The patch is for another base; ask for the whole.
+    BaseMismatch, // The patch is for another base; ask for the whole.
     Damaged, // The document is malformed or has another digest; nothing was changed.
 };
 
@@ -35,8 +35,8 @@
     // Starts from what was kept on disk, if anything; the text must be a sound bundle.
     bool restore(std::uint64_t version, std::string_view text);
 
-    OfferEffect take(const BundleOffer &offer);
-    void noteBeat(TimePoint now, const ControlBeat &beat);
+    OfferResult take(const BundleOffer &offer);
+    void handleHeartbeat(TimePoint now, const ControlBeat &beat);
 
     std::uint64_t version() const;
     const Bundle &bundle() const;
--- a/tests/test_control_state.cpp
+++ b/tests/test_control_state.cpp
@@ -150,22 +150,22 @@
         return makeOffer(fixture.state.find(from), *fixture.state.find(to), fixture.state.operators());
     };
     RolloutAgent agent;
-    CHECK(agent.take(offer(2, 3)) == OfferEffect::BaseMissing);
-    CHECK(agent.take(offer(0, 1)) == OfferEffect::Applied);
+    CHECK(agent.take(offer(2, 3)) == OfferResult::BaseMismatch);
+    CHECK(agent.take(offer(0, 1)) == OfferResult::Applied);
     BundleOffer damaged = offer(0, 2);
     damaged.digest[0] ^= 1;
-    CHECK(agent.take(damaged) == OfferEffect::Damaged);
+    CHECK(agent.take(damaged) == OfferResult::Damaged);
     CHECK(agent.version() == 1);
-    CHECK(agent.take(offer(0, 2)) == OfferEffect::Applied);
+    CHECK(agent.take(offer(0, 2)) == OfferResult::Applied);
     const BundleOffer delta = offer(2, 3);
     CHECK(delta.baseVersion == 2);
     CHECK(delta.document.size() < offer(0, 3).document.size());
-    CHECK(agent.take(delta) == OfferEffect::Applied);
-    CHECK(agent.take(offer(0, 1)) == OfferEffect::NotNewer);
+    CHECK(agent.take(delta) == OfferResult::Applied);
+    CHECK(agent.take(offer(0, 1)) == OfferResult::NotNewer);
     CHECK(agent.version() == 3);
     RolloutAgent restarted;
     CHECK(restarted.restore(agent.version(), agent.text()));
-    CHECK(restarted.take(offer(0, 2)) == OfferEffect::NotNewer);
+    CHECK(restarted.take(offer(0, 2)) == OfferResult::NotNewer);
 }
 
 TEST_CASE("a version is confirmed only while a replica in contact with a quorum says so")
@@ -176,11 +176,11 @@
     agent.take(makeOffer(nullptr, *fixture.state.find(1), {}));
     const TimePoint start{std::chrono::seconds(100)};
     CHECK_FALSE(agent.confirmed(start));
-    agent.noteBeat(start, {1, false});
+    agent.handleHeartbeat(start, {1, false});
     CHECK_FALSE(agent.confirmed(start));
-    agent.noteBeat(start, {1, true});
+    agent.handleHeartbeat(start, {1, true});
     CHECK(agent.confirmed(start));
-    CHECK_FALSE(agent.confirmed(start + ConfirmationTime));
-    agent.noteBeat(start, {2, true});
+    CHECK_FALSE(agent.confirmed(start + ConfirmationTimeout));
+    agent.handleHeartbeat(start, {2, true});
     CHECK_FALSE(agent.confirmed(start));
 }
