--- a/src/balancer_api.cpp
+++ b/src/balancer_api.cpp
@@ -193,7 +193,7 @@
     }
     const DrainOrder &drain = std::get<DrainOrder>(*content);
     const bool signedByOperator = std::any_of(m_rollout.operators().begin(), m_rollout.operators().end(), [&](const OperatorRecord &record) {
-        return record.name == order->operatorName && !record.revoked && verify(signedBytes(*order), order->signature, record.key);
+        return record.name == order->operatorName && !record.revoked && verify(bytesToSign(*order), order->signature, record.key);
     });
     if (!signedByOperator || drain.balancer != BalancerKey{m_file.balancer, m_memory.incarnation}) {
         return errorResponse(HttpForbidden, "not-permitted", "signature, operator or incarnation does not fit");
--- a/src/control_command.cpp
+++ b/src/control_command.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-Bytes signedBytes(const SignedChange &change)
+Bytes bytesToSign(const SignedChange &change)
 {
     Bytes bytes;
     const auto append = [&bytes](const auto &part) {
@@ -34,7 +34,7 @@
     change.change = id;
     change.operatorName = std::move(operatorName);
     change.content = std::move(content);
-    change.signature = sign(signedBytes(change), key);
+    change.signature = sign(bytesToSign(change), key);
     return change;
 }
 
@@ -74,7 +74,7 @@
     return "unknown";
 }
 
-std::string_view kindOf(const ControlChange &change)
+std::string_view actionName(const ControlChange &change)
 {
     static constexpr std::string_view Names[] = {"propose-bundle", "approve-bundle", "steer-rollout", "set-operator"};
     return Names[change.index()];
--- a/src/control_command.h
+++ b/src/control_command.h
@@ -51,7 +51,7 @@
     Stop, // Leave the others at the version before.
 };
 
-struct SteerRollout {
+struct UpdateRollout {
     std::uint64_t version = 0;
     RolloutAction action = RolloutAction::Continue;
 
@@ -74,7 +74,7 @@
     }
 };
 
-using ControlChange = std::variant<ProposeBundle, ApproveBundle, SteerRollout, SetOperator>;
+using ControlChange = std::variant<ProposeBundle, ApproveBundle, UpdateRollout, SetOperator>;
 
 // A change as it is signed, sent and replicated. `receivedAt` is set by the leader for the audit trail
 // only and is not signed; seconds since the epoch.
@@ -163,7 +163,7 @@
 };
 
 // The bytes that an operator signs: a domain separator, the change id, the name and the content.
-Bytes signedBytes(const SignedChange &change);
+Bytes bytesToSign(const SignedChange &change);
 
 // Signs any content under a change id, and a change or a drain order in particular.
 SignedChange signContent(const ChangeId &id, std::string operatorName, Bytes content, const SecretKey &key);
@@ -171,6 +171,6 @@
 
 // Names for output, in lower case with dashes.
 std::string_view nameOf(ChangeRefusal refusal);
-std::string_view kindOf(const ControlChange &change);
+std::string_view actionName(const ControlChange &change);
 
 } // namespace Robinrail
--- a/src/control_state.cpp
+++ b/src/control_state.cpp
@@ -17,7 +17,7 @@
     std::vector<BundleVersion> history;
     std::vector<Proposal> proposals;
     std::vector<AuditRecord> audit;
-    std::vector<RememberedChange> remembered;
+    std::vector<CompletedChange> remembered;
 
     auto fields()
     {
@@ -73,7 +73,7 @@
 
 ChangeResult ControlState::apply(const SignedChange &change)
 {
-    if (const ChangeResult *known = resultOf(change.change)) {
+    if (const ChangeResult *known = findResult(change.change)) {
         return *known;
     }
     std::string action = "malformed";
@@ -94,12 +94,12 @@
     if (!content || change.operatorName.size() > MaxOperatorName) {
         return refused(ChangeRefusal::Malformed);
     }
-    action = kindOf(*content);
+    action = actionName(*content);
     const OperatorRecord *known = findOperator(change.operatorName);
     if (known == nullptr) {
         return refused(ChangeRefusal::UnknownOperator);
     }
-    if (!verify(signedBytes(change), change.signature, known->key)) {
+    if (!verify(bytesToSign(change), change.signature, known->key)) {
         return refused(ChangeRefusal::BadSignature);
     }
     if (known->revoked) {
@@ -112,7 +112,7 @@
     if (const auto *approve = std::get_if<ApproveBundle>(&*content)) {
         return decideApproval(change, *approve);
     }
-    if (const auto *steer = std::get_if<SteerRollout>(&*content)) {
+    if (const auto *steer = std::get_if<UpdateRollout>(&*content)) {
         return decideRollout(*steer);
     }
     return decideOperator(signer, std::get<SetOperator>(*content));
@@ -145,7 +145,7 @@
         return proposal.change == approve.proposal;
     });
     if (at == m_proposals.end()) {
-        const ChangeResult *known = resultOf(approve.proposal);
+        const ChangeResult *known = findResult(approve.proposal);
         return known != nullptr ? conflict() : refused(ChangeRefusal::UnknownProposal);
     }
     if (std::find(at->approvers.begin(), at->approvers.end(), change.operatorName) != at->approvers.end()) {
@@ -186,7 +186,7 @@
     return result;
 }
 
-ChangeResult ControlState::decideRollout(const SteerRollout &steer)
+ChangeResult ControlState::decideRollout(const UpdateRollout &steer)
 {
     BundleVersion *newest = m_history.empty() ? nullptr : &m_history.back();
     if (newest == nullptr || newest->version != steer.version || newest->stage != RolloutStage::First) {
@@ -294,7 +294,7 @@
     return m_audit;
 }
 
-const ChangeResult *ControlState::resultOf(const ChangeId &change) const
+const ChangeResult *ControlState::findResult(const ChangeId &change) const
 {
     const auto at = m_results.find(change);
     return at != m_results.end() ? &at->second : nullptr;
@@ -319,7 +319,7 @@
     entry.refusal = result.refusal;
     entry.version = result.version;
     entry.previous = m_audit.empty() ? ChainHash{} : m_audit.back().hash;
-    entry.hash = hashOf(entry);
+    entry.hash = auditRecordHash(entry);
     m_audit.push_back(std::move(entry));
     while (m_audit.size() > MaxAuditRecords) {
         m_audit.pop_front();
@@ -328,11 +328,11 @@
 
 void ControlState::remember(const ChangeId &change, const ChangeResult &result)
 {
-    m_remembered.push_back({change, result});
+    m_completedChanges.push_back({change, result});
     m_results[change] = result;
-    while (m_remembered.size() > MaxRememberedChanges) {
-        m_results.erase(m_remembered.front().change);
-        m_remembered.pop_front();
+    while (m_completedChanges.size() > MaxCompletedChanges) {
+        m_results.erase(m_completedChanges.front().change);
+        m_completedChanges.pop_front();
     }
 }
 
@@ -343,7 +343,7 @@
     image.history = toVector(m_history);
     image.proposals = m_proposals;
     image.audit = toVector(m_audit);
-    image.remembered = toVector(m_remembered);
+    image.remembered = toVector(m_completedChanges);
     return encodeObject(image);
 }
 
@@ -357,15 +357,15 @@
     m_history = toDeque(std::move(image.history));
     m_proposals = std::move(image.proposals);
     m_audit = toDeque(std::move(image.audit));
-    m_remembered = toDeque(std::move(image.remembered));
+    m_completedChanges = toDeque(std::move(image.remembered));
     m_results.clear();
-    for (const RememberedChange &entry : m_remembered) {
+    for (const CompletedChange &entry : m_completedChanges) {
         m_results[entry.change] = entry.result;
     }
     return true;
 }
 
-ChainHash hashOf(const AuditRecord &record)
+ChainHash auditRecordHash(const AuditRecord &record)
 {
     AuditRecord content = record;
     content.hash = {};
@@ -375,11 +375,11 @@
     return hash;
 }
 
-std::optional<std::uint64_t> firstBrokenRecord(std::span<const AuditRecord> records)
+std::optional<std::uint64_t> firstInvalidRecord(std::span<const AuditRecord> records)
 {
     for (std::size_t i = 0; i < records.size(); ++i) {
         const bool chained = i == 0 || (records[i].previous == records[i - 1].hash && records[i].number == records[i - 1].number + 1);
-        if (!chained || hashOf(records[i]) != records[i].hash) {
+        if (!chained || auditRecordHash(records[i]) != records[i].hash) {
             return records[i].number;
         }
     }
--- a/src/control_state.h
+++ b/src/control_state.h
@@ -13,7 +13,7 @@
 
 // Change results are kept for resends for this many changes. An older resend still can't apply twice, as
 // the version that it builds on has passed.
-inline constexpr std::size_t MaxRememberedChanges = 20'000;
+inline constexpr std::size_t MaxCompletedChanges = 20'000;
 
 // Audit records and bundle texts that a replica keeps; older ones are dropped, the hash chain goes on.
 inline constexpr std::size_t MaxAuditRecords = 20'000;
@@ -76,7 +76,7 @@
     }
 };
 
-struct RememberedChange {
+struct CompletedChange {
     ChangeId change{};
     ChangeResult result;
 
@@ -119,7 +119,7 @@
     const std::deque<AuditRecord> &audit() const;
 
     // The answer that a change id has got; null if it is not remembered.
-    const ChangeResult *resultOf(const ChangeId &change) const;
+    const ChangeResult *findResult(const ChangeId &change) const;
 
     // The whole state as bytes, and back. False if the bytes are not a state.
     Bytes serialize() const;
@@ -129,7 +129,7 @@
     ChangeResult decide(const SignedChange &change, std::string &action);
     ChangeResult decideProposal(const SignedChange &change, const ProposeBundle &propose);
     ChangeResult decideApproval(const SignedChange &change, const ApproveBundle &approve);
-    ChangeResult decideRollout(const SteerRollout &steer);
+    ChangeResult decideRollout(const UpdateRollout &steer);
     ChangeResult decideOperator(const OperatorRecord &signer, const SetOperator &set);
     ChangeResult acceptIfApproved(std::size_t proposal);
     ChangeResult conflict() const;
@@ -142,14 +142,14 @@
     std::deque<BundleVersion> m_history;
     std::vector<Proposal> m_proposals;
     std::deque<AuditRecord> m_audit;
-    std::deque<RememberedChange> m_remembered;
+    std::deque<CompletedChange> m_completedChanges;
     std::map<ChangeId, ChangeResult> m_results;
 };
 
 // The hash that a record must carry.
-ChainHash hashOf(const AuditRecord &record);
+ChainHash auditRecordHash(const AuditRecord &record);
 
 // Checks a chain of consecutive records; the number of the first bad record, or empty if all are sound.
-std::optional<std::uint64_t> firstBrokenRecord(std::span<const AuditRecord> records);
+std::optional<std::uint64_t> firstInvalidRecord(std::span<const AuditRecord> records);
 
 } // namespace Robinrail
--- a/src/operator_client.cpp
+++ b/src/operator_client.cpp
@@ -169,7 +169,7 @@
     return Json::parse(reply->body, nullptr, false);
 }
 
-leaf::result<SignedChange> OperatorClient::signAs(Bytes content)
+leaf::result<SignedChange> OperatorClient::signWithConfiguredKey(Bytes content)
 {
     BOOST_LEAF_AUTO(key, readKeyFile(m_config.keyFile));
     return signContent(randomChangeId(), m_config.operatorName, std::move(content), key);
--- a/src/operator_client.h
+++ b/src/operator_client.h
@@ -62,7 +62,7 @@
         const BalancerAddress &balancer, const std::string &method, const std::string &path, const std::string &query = {}, const std::string &body = {});
 
     // Signs with the configured key.
-    boost::leaf::result<SignedChange> signAs(Bytes content);
+    boost::leaf::result<SignedChange> signWithConfiguredKey(Bytes content);
 
     const ClientConfig &config() const;
 
--- a/src/operator_commands.cpp
+++ b/src/operator_commands.cpp
@@ -121,7 +121,7 @@
     BOOST_LEAF_AUTO(text, checkedBundle(textOf(arguments, "FILE")));
     BOOST_LEAF_AUTO(base, numberOf(arguments, "--base"));
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(change, client.signAs(encodeMessage(ControlChange(ProposeBundle{base, text}))));
+    BOOST_LEAF_AUTO(change, client.signWithConfiguredKey(encodeMessage(ControlChange(ProposeBundle{base, text}))));
     std::ofstream out(textOf(arguments, "--out"));
     out << toApi(change).dump() << '\n';
     if (!out) {
@@ -147,7 +147,7 @@
 leaf::result<int> submitChange(const CommandArguments &arguments, const ControlChange &content)
 {
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(change, client.signAs(encodeMessage(content)));
+    BOOST_LEAF_AUTO(change, client.signWithConfiguredKey(encodeMessage(content)));
     BOOST_LEAF_AUTO(answer, client.submit(toApi(change)));
     print(arguments, answer);
     return ExitOk;
@@ -211,7 +211,7 @@
 leaf::result<int> rolloutSteer(const CommandArguments &arguments, RolloutAction action)
 {
     BOOST_LEAF_AUTO(version, numberOf(arguments, "VERSION"));
-    return submitChange(arguments, SteerRollout{version, action});
+    return submitChange(arguments, UpdateRollout{version, action});
 }
 
 leaf::result<int> operatorSet(const CommandArguments &arguments)
@@ -325,7 +325,7 @@
         }
         records.push_back(*record);
     }
-    const std::optional<std::uint64_t> broken = firstBrokenRecord(records);
+    const std::optional<std::uint64_t> broken = firstInvalidRecord(records);
     print(arguments, {{"records", records.size()}, {"sound", !broken}, {"firstBroken", broken ? Json(*broken) : Json(nullptr)}});
     return broken ? ExitFailed : ExitOk;
 }
@@ -345,7 +345,7 @@
         BOOST_LEAF_AUTO(balancerStatus, client.callBalancer(balancer, "GET", "/v1/status"));
         const BalancerKey key{balancer.id, Incarnation{balancerStatus["incarnation"].get<std::uint64_t>()}};
         const DrainOrder order{key, TargetId{vm ? 0 : static_cast<std::uint32_t>(id)}};
-        BOOST_LEAF_AUTO(change, client.signAs(encodeMessage(std::variant<DrainOrder>(order))));
+        BOOST_LEAF_AUTO(change, client.signWithConfiguredKey(encodeMessage(std::variant<DrainOrder>(order))));
         BOOST_LEAF_AUTO(answer, client.callBalancer(balancer, "POST", "/v1/drain", {}, toApi(change).dump()));
         print(arguments, answer);
         ordered = true;
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -153,8 +153,8 @@
 mutate "version watch: a lagging replica vouches" src/version_watch.h 'caughtUp && own.reaches(m_highest)' 'caughtUp && (own.reaches(m_highest) || caughtUp)' '*lags behind another*'
 mutate "no compare-and-set on versions" src/control_state.cpp 'if (propose.baseVersion != latestVersion()) {' \
     'if (propose.baseVersion > latestVersion()) {' '*equal numbers*'
-mutate "no memory of changes" src/control_state.cpp 'if (const ChangeResult *known = resultOf(change.change)) {' \
-    'if (const ChangeResult *known = resultOf({})) {' '*applies once*,*equal numbers*'
+mutate "no memory of changes" src/control_state.cpp 'if (const ChangeResult *known = findResult(change.change)) {' \
+    'if (const ChangeResult *known = findResult({})) {' '*applies once*,*equal numbers*'
 mutate "bundles go back" src/rollout.cpp 'if (offer.version <= m_version) {' 'if (offer.version == m_version) {' '*only upward*'
 mutate "a torn record is taken" src/raft_storage.cpp 'if (loadInteger<std::uint64_t>(bytes, at + 8) != checksum(length, payload)) {' \
     'if (length > MaxRecord) {' '*damaged record*,*torn record*'
--- a/tests/test_control_state.cpp
+++ b/tests/test_control_state.cpp
@@ -108,17 +108,17 @@
         fixture.apply("admin", ProposeBundle{version, bundleText(1)});
     }
     std::vector<AuditRecord> records(fixture.state.audit().begin(), fixture.state.audit().end());
-    CHECK_FALSE(firstBrokenRecord(records));
+    CHECK_FALSE(firstInvalidRecord(records));
     std::vector<AuditRecord> changed = records;
     changed[2].operatorName = "other";
-    CHECK(firstBrokenRecord(changed) == 3);
+    CHECK(firstInvalidRecord(changed) == 3);
     changed = records;
     changed.erase(changed.begin() + 1);
-    CHECK(firstBrokenRecord(changed) == 3);
+    CHECK(firstInvalidRecord(changed) == 3);
     changed = records;
     changed[1].version = 7;
-    changed[1].hash = hashOf(changed[1]);
-    CHECK(firstBrokenRecord(changed) == 3);
+    changed[1].hash = auditRecordHash(changed[1]);
+    CHECK(firstInvalidRecord(changed) == 3);
 }
 
 TEST_CASE("a staged version reaches the first balancers, then all, or is stopped")
@@ -128,11 +128,11 @@
     fixture.apply("admin", ProposeBundle{1, bundleText(1, R"(, "firstBalancers": [3])")});
     CHECK(fixture.state.versionFor(BalancerId{3})->version == 2);
     CHECK(fixture.state.versionFor(BalancerId{4})->version == 1);
-    CHECK(fixture.apply("author", SteerRollout{1, RolloutAction::Continue}).refusal == ChangeRefusal::NoSuchRollout);
-    CHECK(fixture.apply("author", SteerRollout{2, RolloutAction::Stop}).refusal == ChangeRefusal::None);
+    CHECK(fixture.apply("author", UpdateRollout{1, RolloutAction::Continue}).refusal == ChangeRefusal::NoSuchRollout);
+    CHECK(fixture.apply("author", UpdateRollout{2, RolloutAction::Stop}).refusal == ChangeRefusal::None);
     CHECK(fixture.state.versionFor(BalancerId{4})->version == 1);
     CHECK(fixture.state.versionFor(BalancerId{3})->version == 2);
-    CHECK(fixture.apply("author", SteerRollout{2, RolloutAction::Continue}).refusal == ChangeRefusal::NoSuchRollout);
+    CHECK(fixture.apply("author", UpdateRollout{2, RolloutAction::Continue}).refusal == ChangeRefusal::NoSuchRollout);
     fixture.apply("admin", ProposeBundle{2, bundleText(1)});
     CHECK(fixture.state.versionFor(BalancerId{4})->version == 3);
 }
