--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -342,7 +342,7 @@
         const auto versions = versionsOf(size);
         const BundleOffer offer = makeOffer(&versions.first, versions.second, {});
         RolloutAgent agent;
-        agent.take(makeOffer(nullptr, versions.first, {}));
+        agent.applyOffer(makeOffer(nullptr, versions.first, {}));
         return microsecondsOf(
             [&] {
                 RolloutAgent copy = agent;
--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -316,7 +316,7 @@
 
 void BalancerDaemon::takeOffer(LinkHandle link, const BundleOffer &offer)
 {
-    switch (m_rollout.take(offer)) {
+    switch (m_rollout.applyOffer(offer)) {
     case OfferResult::Applied:
         if (!keep()) {
             LogLine(LogLevel::Error, "bundle-not-kept").with("version", offer.version);
--- a/src/rollout.cpp
+++ b/src/rollout.cpp
@@ -52,7 +52,7 @@
     return true;
 }
 
-OfferResult RolloutAgent::take(const BundleOffer &offer)
+OfferResult RolloutAgent::applyOffer(const BundleOffer &offer)
 {
     if (offer.version <= m_version) {
         m_operators = offer.version == m_version ? offer.operators : m_operators;
--- a/src/rollout.h
+++ b/src/rollout.h
@@ -35,7 +35,7 @@
     // Starts from what was kept on disk, if anything; the text must be a sound bundle.
     bool restore(std::uint64_t version, std::string_view text);
 
-    OfferResult take(const BundleOffer &offer);
+    OfferResult applyOffer(const BundleOffer &offer);
     void handleHeartbeat(TimePoint now, const ControlBeat &beat);
 
     std::uint64_t version() const;
--- a/tests/test_control_state.cpp
+++ b/tests/test_control_state.cpp
@@ -150,22 +150,22 @@
         return makeOffer(fixture.state.find(from), *fixture.state.find(to), fixture.state.operators());
     };
     RolloutAgent agent;
-    CHECK(agent.take(offer(2, 3)) == OfferResult::BaseMismatch);
-    CHECK(agent.take(offer(0, 1)) == OfferResult::Applied);
+    CHECK(agent.applyOffer(offer(2, 3)) == OfferResult::BaseMismatch);
+    CHECK(agent.applyOffer(offer(0, 1)) == OfferResult::Applied);
     BundleOffer damaged = offer(0, 2);
     damaged.digest[0] ^= 1;
-    CHECK(agent.take(damaged) == OfferResult::Damaged);
+    CHECK(agent.applyOffer(damaged) == OfferResult::Damaged);
     CHECK(agent.version() == 1);
-    CHECK(agent.take(offer(0, 2)) == OfferResult::Applied);
+    CHECK(agent.applyOffer(offer(0, 2)) == OfferResult::Applied);
     const BundleOffer delta = offer(2, 3);
     CHECK(delta.baseVersion == 2);
     CHECK(delta.document.size() < offer(0, 3).document.size());
-    CHECK(agent.take(delta) == OfferResult::Applied);
-    CHECK(agent.take(offer(0, 1)) == OfferResult::NotNewer);
+    CHECK(agent.applyOffer(delta) == OfferResult::Applied);
+    CHECK(agent.applyOffer(offer(0, 1)) == OfferResult::NotNewer);
     CHECK(agent.version() == 3);
     RolloutAgent restarted;
     CHECK(restarted.restore(agent.version(), agent.text()));
-    CHECK(restarted.take(offer(0, 2)) == OfferResult::NotNewer);
+    CHECK(restarted.applyOffer(offer(0, 2)) == OfferResult::NotNewer);
 }
 
 TEST_CASE("a version is confirmed only while a replica in contact with a quorum says so")
@@ -173,7 +173,7 @@
     Fixture fixture;
     fixture.apply("admin", ProposeBundle{0, bundleText(1)});
     RolloutAgent agent;
-    agent.take(makeOffer(nullptr, *fixture.state.find(1), {}));
+    agent.applyOffer(makeOffer(nullptr, *fixture.state.find(1), {}));
     const TimePoint start{std::chrono::seconds(100)};
     CHECK_FALSE(agent.confirmed(start));
     agent.handleHeartbeat(start, {1, false});
