--- a/src/http.cpp
+++ b/src/http.cpp
@@ -117,7 +117,7 @@
         if (!reply.location.empty()) {
             m_response.set(http::field::location, reply.location);
         }
-        m_response.keep_alive(m_parser->get().keep_alive() && !reply.last);
+        m_response.keep_alive(m_parser->get().keep_alive() && !reply.closeConnection);
         m_response.body() = std::move(reply.body);
         m_response.prepare_payload();
         m_stream.expires_after(HttpTimeout);
--- a/src/http.h
+++ b/src/http.h
@@ -41,7 +41,7 @@
     std::string contentType = "application/json";
     std::string body;
     std::string location = {}; // Of a redirection; empty otherwise.
-    bool last = false; // The client will not ask here again: its connection is closed behind the answer.
+    bool closeConnection = false; // The client will not ask here again: its connection is closed behind the answer.
 };
 
 using HttpResponder = std::function<void(HttpResponse)>;
