--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -65,14 +65,14 @@
 mutate "answers complete with any part" src/answer_assembly.h 'return m_received == m_count ?' 'return m_received > 0 ?' \
     '*with all its parts*,*complete only with all parts*'
 mutate "a vote for everybody" src/raft_election.cpp \
-    'const bool free = value(m_hard.votedFor.id) == 0 || m_hard.votedFor == from;' 'const bool free = true;' '*replicas keep every promise*'
+    'const bool free = value(m_hard.votedFor.id) == 0 || m_hard.votedFor == from;' 'const bool free = true;' '*replicas preserve all invariants*'
 mutate "votes for short logs" src/raft_election.cpp \
     'const bool upToDate = std::pair(request.lastTerm, request.lastIndex) >= std::pair(lastTerm(), lastIndex());' \
-    'const bool upToDate = true;' '*replicas keep every promise*'
+    'const bool upToDate = true;' '*replicas preserve all invariants*'
 mutate "commit without a quorum" src/raft_replication.cpp 'const LogIndex agreed = matches[matches.size() / 2];' \
-    'const LogIndex agreed = matches.front();' '*replicas keep every promise*'
+    'const LogIndex agreed = matches.front();' '*replicas preserve all invariants*'
 mutate "voter before it caught up" src/raft_members.cpp \
-    'return caughtUp && now' 'return (caughtUp || !caughtUp) && now' '*loss of a second one*,*replicas keep every promise*'
+    'return caughtUp && now' 'return (caughtUp || !caughtUp) && now' '*loss of a second one*,*replicas preserve all invariants*'
 mutate "steering: openings that waited are handed on" src/flow_steering.cpp 'if (packet.waited >= timeUntilNextCopy(packet.copy)) {' \
     'if (packet.waited >= timeUntilNextCopy(packet.copy) && packet.reset) {' '*waited until its next copy*'
 mutate "steering: a copy right behind tells silence" src/flow_steering.cpp '|| tooSoon) &&' '|| (tooSoon && packet.reset)) &&' '*right behind the first*'
--- a/tests/test_control.cpp
+++ b/tests/test_control.cpp
@@ -177,42 +177,42 @@
 
 } // namespace
 
-TEST_CASE("3 replicas keep every promise under any schedule")
+TEST_CASE("3 replicas preserve all invariants under any schedule")
 {
     CHECK(rc::check("three replicas", [] {
         playAny(3, 0);
     }));
 }
 
-TEST_CASE("3 replicas keep every promise with loss and duplication")
+TEST_CASE("3 replicas preserve all invariants with loss and duplication")
 {
     CHECK(rc::check("three replicas, lossy", [] {
         playAny(3, 0.05);
     }));
 }
 
-TEST_CASE("5 replicas keep every promise under any schedule")
+TEST_CASE("5 replicas preserve all invariants under any schedule")
 {
     CHECK(rc::check("five replicas", [] {
         playAny(5, 0.02);
     }));
 }
 
-TEST_CASE("4 replicas that choose their 3 voters keep every promise under any schedule")
+TEST_CASE("4 replicas that choose their 3 voters preserve all invariants under any schedule")
 {
     CHECK(rc::check("four replicas, one of them a spare", [] {
         playAny(4, 0.02, selfKept(1));
     }));
 }
 
-TEST_CASE("6 replicas that choose their 5 voters keep every promise under any schedule")
+TEST_CASE("6 replicas that choose their 5 voters preserve all invariants under any schedule")
 {
     CHECK(rc::check("six replicas, one of them a spare", [] {
         playAny(6, 0.02, selfKept(2));
     }));
 }
 
-TEST_CASE("5 replicas that dial those that they know keep every promise under any schedule")
+TEST_CASE("5 replicas that dial those that they know preserve all invariants under any schedule")
 {
     CHECK(rc::check("five replicas, three of them seeds, with links", [] {
         ClusterOptions options = selfKept(2);
