--- a/src/control_command.cpp
+++ b/src/control_command.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control commands: signing and names.
+// Control commands: signing, and names of actions and refusals.
 #include "control_command.h"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Keeps a signature for one purpose from being used for another.
-constexpr std::string_view Domain = "robinrail-change-v1";
+// Domain separator: a signature made for another purpose does not verify as one of a change.
+constexpr std::string_view SignatureDomain = "robinrail-change-v1";
 
 } // namespace
 
@@ -20,7 +20,7 @@
     const auto append = [&bytes](const auto &part) {
         std::copy(part.begin(), part.end(), std::back_inserter(bytes));
     };
-    append(Domain);
+    append(SignatureDomain);
     append(change.change);
     bytes.push_back(static_cast<std::uint8_t>(change.operatorName.size()));
     append(change.operatorName);
--- a/src/control_command.h
+++ b/src/control_command.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control commands: signed changes that operators ask for, and the answers they get.
+// Control commands: signed configuration changes submitted by operators, and their results.
 #pragma once
 
 #include "codec.h"
@@ -10,22 +10,22 @@
 
 namespace Robinrail {
 
-// A number that the operator's tool draws once for each intended change. A resend carries the same one
-// and gets the first answer again, which makes every change idempotent.
+// Random id that the operator's tool generates once per intended change. A retry carries the same id and
+// receives the result of the first attempt, which makes every change idempotent.
 using ChangeId = std::array<std::uint8_t, 16>;
 
-// Largest bundle text, bytes.
+// Maximum size of a bundle's text in bytes.
 inline constexpr std::size_t MaxBundleSize = std::size_t{1} << 20U;
 
-// Longest name of an operator, bytes.
+// Maximum length of an operator's name in bytes.
 inline constexpr std::size_t MaxOperatorName = 64;
 
 enum class OperatorRole : std::uint8_t {
-    Author, // Proposes and approves bundles, and steers rollouts.
-    Administrator, // Also adds, rotates and revokes operators' keys.
+    Author, // Proposes and approves bundles, continues and stops rollouts.
+    Administrator, // An author that also adds, rotates and revokes operators' keys.
 };
 
-// Proposes a bundle that replaces version baseVersion. Counts as its author's approval.
+// Proposes a bundle that replaces version `baseVersion`. Counts as the approval of its author.
 struct ProposeBundle {
     std::uint64_t baseVersion = 0;
     std::string bundle;
@@ -36,7 +36,7 @@
     }
 };
 
-// Approves the proposal that was made under another change id.
+// Approves the proposal whose change id is `proposal`.
 struct ApproveBundle {
     ChangeId proposal{};
 
@@ -47,10 +47,11 @@
 };
 
 enum class RolloutAction : std::uint8_t {
-    Continue, // From the first balancers to all.
-    Stop, // Leave the others at the version before.
+    Continue, // Extends the rollout from the first balancers to all.
+    Stop, // Leaves all but the first balancers at the previous version.
 };
 
+// Continues or stops the staged rollout of `version`.
 struct UpdateRollout {
     std::uint64_t version = 0;
     RolloutAction action = RolloutAction::Continue;
@@ -61,7 +62,7 @@
     }
 };
 
-// Adds an operator or replaces its key and role. A revoked operator can sign nothing any more.
+// Adds an operator, or replaces its key and role. Changes signed by a revoked operator are refused.
 struct SetOperator {
     std::string name;
     PublicKey key{};
@@ -76,8 +77,8 @@
 
 using ControlChange = std::variant<ProposeBundle, ApproveBundle, UpdateRollout, SetOperator>;
 
-// A change as it is signed, sent and replicated. `receivedAt` is set by the leader for the audit trail
-// only and is not signed; seconds since the epoch.
+// A change as it is signed, sent and replicated. `receivedAt`, in seconds since the epoch, is set by the
+// leader for the audit trail and is not covered by the signature.
 struct SignedChange {
     ChangeId change{};
     std::string operatorName;
@@ -91,7 +92,7 @@
     }
 };
 
-// An operator's key and what it may sign.
+// An operator's public key, and the role that decides which changes it may sign.
 struct OperatorRecord {
     std::string name;
     PublicKey key{};
@@ -104,7 +105,7 @@
     }
 };
 
-// Who may sign before anybody has signed anything: the first command of a cluster, ignored later.
+// The initial operators, whose keys are trusted without a signature. Ignored once the cluster has operators.
 struct Genesis {
     std::vector<OperatorRecord> operators;
 
@@ -114,14 +115,14 @@
     }
 };
 
-// What the replicated log carries.
+// The payload of an entry of the replicated log.
 using ControlCommand = std::variant<Genesis, SignedChange>;
 
-// What an operator signs to drain something on one run of one balancer. It goes to that balancer and not
-// through the log, as a stop must work without a quorum.
+// Drains a target or a balancer. It is valid for one incarnation of one balancer and is sent to it directly,
+// not through the log, because draining must work without a quorum.
 struct DrainOrder {
     BalancerKey balancer;
-    TargetId target{}; // 0: the balancer itself.
+    TargetId target{}; // 0 drains the balancer itself.
 
     auto fields()
     {
@@ -129,7 +130,6 @@
     }
 };
 
-// Why a change was refused.
 enum class ChangeRefusal : std::uint8_t {
     None,
     UnknownOperator,
@@ -138,20 +138,20 @@
     NotPermitted,
     Malformed,
     InvalidBundle,
-    VersionConflict, // Another change took the version; `version` and `winner` name it.
+    VersionConflict, // The base version is no longer the newest; `version` and `winner` identify the newest one.
     UnknownProposal,
     AlreadyApproved,
     NoSuchRollout,
     LastAdministrator,
 };
 
-// The answer to a change. The same for every resend.
+// The outcome of a change; every retry receives the same one.
 struct ChangeResult {
     ChangeRefusal refusal = ChangeRefusal::None;
-    std::uint64_t version = 0; // Accepted as this version, or the version in the way; 0: awaits approvals.
+    std::uint64_t version = 0; // The accepted or the conflicting version; 0 while approvals are missing.
     std::uint32_t approvals = 0;
     std::uint32_t approvalsRequired = 0;
-    ChangeId winner{};
+    ChangeId winner{}; // On a conflict, the change that created `version`.
     std::string detail;
 
     bool operator==(const ChangeResult &) const = default;
@@ -162,14 +162,14 @@
     }
 };
 
-// The bytes that an operator signs: a domain separator, the change id, the name and the content.
+// The bytes covered by the signature: domain separator, change id, length and text of the name, content.
 Bytes bytesToSign(const SignedChange &change);
 
-// Signs any content under a change id, and a change or a drain order in particular.
+// Signs encoded content, such as that of a DrainOrder, under a change id. makeChange() encodes a ControlChange first.
 SignedChange signContent(const ChangeId &id, std::string operatorName, Bytes content, const SecretKey &key);
 SignedChange makeChange(const ChangeId &id, std::string operatorName, const ControlChange &content, const SecretKey &key);
 
-// Names for output, in lower case with dashes.
+// Names used in the API and the audit trail, in kebab case.
 std::string_view nameOf(ChangeRefusal refusal);
 std::string_view actionName(const ControlChange &change);
 
--- a/src/control_core.h
+++ b/src/control_core.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control core: the replicated core of signed bundles.
+// Control core: consensus over the state machine of signed bundles.
 #pragma once
 
 #include "control_state.h"
--- a/src/control_state.cpp
+++ b/src/control_state.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control state: decisions on changes, audit trail, serialization.
+// Control state: execution of changes, audit trail, serialization.
 #include "control_state.h"
 
 #include "bundle.h"
@@ -11,17 +11,17 @@
 
 namespace {
 
-// All of the state, as it goes into a snapshot.
-struct StateImage {
+// The encoded form of the whole state in a snapshot.
+struct StateSnapshot {
     std::vector<OperatorRecord> operators;
     std::vector<BundleVersion> history;
     std::vector<Proposal> proposals;
     std::vector<AuditRecord> audit;
-    std::vector<CompletedChange> remembered;
+    std::vector<CompletedChange> completedChanges;
 
     auto fields()
     {
-        return std::tie(operators, history, proposals, audit, remembered);
+        return std::tie(operators, history, proposals, audit, completedChanges);
     }
 };
 
@@ -77,18 +77,18 @@
         return *known;
     }
     std::string action = "malformed";
-    ChangeResult result = decide(change, action);
+    ChangeResult result = execute(change, action);
     record(change, std::move(action), result);
-    // An unsigned refusal is not remembered: else anyone could burn the change id of somebody else.
+    // The refusal of an unauthenticated change is not stored: it would block the change id of the genuine one.
     const bool authentic = result.refusal != ChangeRefusal::BadSignature && result.refusal != ChangeRefusal::UnknownOperator
         && result.refusal != ChangeRefusal::RevokedOperator && result.refusal != ChangeRefusal::Malformed;
     if (authentic) {
-        remember(change.change, result);
+        storeResult(change.change, result);
     }
     return result;
 }
 
-ChangeResult ControlState::decide(const SignedChange &change, std::string &action)
+ChangeResult ControlState::execute(const SignedChange &change, std::string &action)
 {
     const std::optional<ControlChange> content = decodeMessage<ControlChange>(change.content);
     if (!content || change.operatorName.size() > MaxOperatorName) {
@@ -107,20 +107,20 @@
     }
     const OperatorRecord signer = *known;
     if (const auto *propose = std::get_if<ProposeBundle>(&*content)) {
-        return decideProposal(change, *propose);
+        return executeProposal(change, *propose);
     }
     if (const auto *approve = std::get_if<ApproveBundle>(&*content)) {
-        return decideApproval(change, *approve);
+        return executeApproval(change, *approve);
     }
-    if (const auto *steer = std::get_if<UpdateRollout>(&*content)) {
-        return decideRollout(*steer);
+    if (const auto *update = std::get_if<UpdateRollout>(&*content)) {
+        return executeRollout(*update);
     }
-    return decideOperator(signer, std::get<SetOperator>(*content));
+    return executeOperator(signer, std::get<SetOperator>(*content));
 }
 
-// Compare-and-set on the version: of two changes that build on the same one, the log's order lets one
-// win, and the other is told the winner.
-ChangeResult ControlState::decideProposal(const SignedChange &change, const ProposeBundle &propose)
+// Compare-and-set on the version: of two proposals with the same base, the one that completes its approvals first in
+// log order is accepted; the other is refused with the id of the accepted change.
+ChangeResult ControlState::executeProposal(const SignedChange &change, const ProposeBundle &propose)
 {
     if (propose.bundle.size() > MaxBundleSize) {
         return refused(ChangeRefusal::InvalidBundle, "larger than " + std::to_string(MaxBundleSize) + " bytes");
@@ -130,36 +130,36 @@
         return refused(ChangeRefusal::InvalidBundle, fault.text());
     }
     if (propose.baseVersion != latestVersion()) {
-        return conflict();
+        return versionConflict();
     }
     if (m_proposals.size() >= MaxProposals) {
         m_proposals.erase(m_proposals.begin());
     }
     m_proposals.push_back({change.change, change.operatorName, propose.baseVersion, propose.bundle, {change.operatorName}});
-    return acceptIfApproved(m_proposals.size() - 1);
+    return publishIfApproved(m_proposals.size() - 1);
 }
 
-ChangeResult ControlState::decideApproval(const SignedChange &change, const ApproveBundle &approve)
+ChangeResult ControlState::executeApproval(const SignedChange &change, const ApproveBundle &approve)
 {
     const auto at = std::find_if(m_proposals.begin(), m_proposals.end(), [&approve](const Proposal &proposal) {
         return proposal.change == approve.proposal;
     });
     if (at == m_proposals.end()) {
         const ChangeResult *known = findResult(approve.proposal);
-        return known != nullptr ? conflict() : refused(ChangeRefusal::UnknownProposal);
+        return known != nullptr ? versionConflict() : refused(ChangeRefusal::UnknownProposal);
     }
     if (std::find(at->approvers.begin(), at->approvers.end(), change.operatorName) != at->approvers.end()) {
         return refused(ChangeRefusal::AlreadyApproved);
     }
     at->approvers.push_back(change.operatorName);
-    return acceptIfApproved(static_cast<std::size_t>(at - m_proposals.begin()));
+    return publishIfApproved(static_cast<std::size_t>(at - m_proposals.begin()));
 }
 
-ChangeResult ControlState::acceptIfApproved(std::size_t index)
+ChangeResult ControlState::publishIfApproved(std::size_t index)
 {
     const Proposal &proposal = m_proposals[index];
     ChangeResult result;
-    // A revoked operator's approval does not count any more.
+    // Approvals by operators that have been revoked since don't count.
     result.approvals = static_cast<std::uint32_t>(std::count_if(proposal.approvers.begin(), proposal.approvers.end(), [this](const std::string &name) {
         const OperatorRecord *approver = findOperator(name);
         return approver != nullptr && !approver->revoked;
@@ -182,23 +182,23 @@
     while (m_history.size() > MaxBundleHistory) {
         m_history.pop_front();
     }
-    m_proposals.clear(); // All others build on a version that has passed.
+    m_proposals.clear(); // The base version of the others is no longer the newest.
     return result;
 }
 
-ChangeResult ControlState::decideRollout(const UpdateRollout &steer)
+ChangeResult ControlState::executeRollout(const UpdateRollout &update)
 {
     BundleVersion *newest = m_history.empty() ? nullptr : &m_history.back();
-    if (newest == nullptr || newest->version != steer.version || newest->stage != RolloutStage::First) {
+    if (newest == nullptr || newest->version != update.version || newest->stage != RolloutStage::First) {
         return refused(ChangeRefusal::NoSuchRollout);
     }
-    newest->stage = steer.action == RolloutAction::Continue ? RolloutStage::All : RolloutStage::Stopped;
+    newest->stage = update.action == RolloutAction::Continue ? RolloutStage::All : RolloutStage::Stopped;
     ChangeResult result;
-    result.version = steer.version;
+    result.version = update.version;
     return result;
 }
 
-ChangeResult ControlState::decideOperator(const OperatorRecord &signer, const SetOperator &set)
+ChangeResult ControlState::executeOperator(const OperatorRecord &signer, const SetOperator &set)
 {
     if (signer.role != OperatorRole::Administrator) {
         return refused(ChangeRefusal::NotPermitted);
@@ -216,10 +216,10 @@
     } else {
         changed.push_back(replacement);
     }
-    const bool administered = std::any_of(changed.begin(), changed.end(), [](const OperatorRecord &record) {
+    const bool hasAdministrator = std::any_of(changed.begin(), changed.end(), [](const OperatorRecord &record) {
         return record.role == OperatorRole::Administrator && !record.revoked;
     });
-    if (!administered) {
+    if (!hasAdministrator) {
         return refused(ChangeRefusal::LastAdministrator);
     }
     m_operators = std::move(changed);
@@ -228,7 +228,7 @@
     return result;
 }
 
-ChangeResult ControlState::conflict() const
+ChangeResult ControlState::versionConflict() const
 {
     ChangeResult result = refused(ChangeRefusal::VersionConflict);
     result.version = latestVersion();
@@ -258,8 +258,8 @@
 {
     for (auto version = m_history.rbegin(); version != m_history.rend(); ++version) {
         const std::vector<BalancerId> &first = version->firstBalancers;
-        const bool among = std::find(first.begin(), first.end(), balancer) != first.end();
-        if (version->stage == RolloutStage::All || among) {
+        const bool isFirst = std::find(first.begin(), first.end(), balancer) != first.end();
+        if (version->stage == RolloutStage::All || isFirst) {
             return &*version;
         }
     }
@@ -326,7 +326,7 @@
     }
 }
 
-void ControlState::remember(const ChangeId &change, const ChangeResult &result)
+void ControlState::storeResult(const ChangeId &change, const ChangeResult &result)
 {
     m_completedChanges.push_back({change, result});
     m_results[change] = result;
@@ -338,26 +338,26 @@
 
 Bytes ControlState::serialize() const
 {
-    StateImage image;
-    image.operators = m_operators;
-    image.history = toVector(m_history);
-    image.proposals = m_proposals;
-    image.audit = toVector(m_audit);
-    image.remembered = toVector(m_completedChanges);
-    return encodeObject(image);
+    StateSnapshot snapshot;
+    snapshot.operators = m_operators;
+    snapshot.history = toVector(m_history);
+    snapshot.proposals = m_proposals;
+    snapshot.audit = toVector(m_audit);
+    snapshot.completedChanges = toVector(m_completedChanges);
+    return encodeObject(snapshot);
 }
 
 bool ControlState::restore(BytesView bytes)
 {
-    StateImage image;
-    if (!decodeObject(bytes, image)) {
+    StateSnapshot snapshot;
+    if (!decodeObject(bytes, snapshot)) {
         return false;
     }
-    m_operators = std::move(image.operators);
-    m_history = toDeque(std::move(image.history));
-    m_proposals = std::move(image.proposals);
-    m_audit = toDeque(std::move(image.audit));
-    m_completedChanges = toDeque(std::move(image.remembered));
+    m_operators = std::move(snapshot.operators);
+    m_history = toDeque(std::move(snapshot.history));
+    m_proposals = std::move(snapshot.proposals);
+    m_audit = toDeque(std::move(snapshot.audit));
+    m_completedChanges = toDeque(std::move(snapshot.completedChanges));
     m_results.clear();
     for (const CompletedChange &entry : m_completedChanges) {
         m_results[entry.change] = entry.result;
@@ -378,8 +378,8 @@
 std::optional<std::uint64_t> firstInvalidRecord(std::span<const AuditRecord> records)
 {
     for (std::size_t i = 0; i < records.size(); ++i) {
-        const bool chained = i == 0 || (records[i].previous == records[i - 1].hash && records[i].number == records[i - 1].number + 1);
-        if (!chained || auditRecordHash(records[i]) != records[i].hash) {
+        const bool linked = i == 0 || (records[i].previous == records[i - 1].hash && records[i].number == records[i - 1].number + 1);
+        if (!linked || auditRecordHash(records[i]) != records[i].hash) {
             return records[i].number;
         }
     }
--- a/src/control_state.h
+++ b/src/control_state.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control state: what the replicas agree on. Deterministic, so that every replica has the same.
+// Control state: the replicated state machine of signed bundles. Deterministic, so that all replicas end in the same state.
 #pragma once
 
 #include "control_command.h"
@@ -11,21 +11,21 @@
 
 namespace Robinrail {
 
-// Change results are kept for resends for this many changes. An older resend still can't apply twice, as
-// the version that it builds on has passed.
+// Number of change results that are kept to answer retries. An older retry still can't be applied twice, as
+// its base version is no longer the newest.
 inline constexpr std::size_t MaxCompletedChanges = 20'000;
 
-// Audit records and bundle texts that a replica keeps; older ones are dropped, the hash chain goes on.
+// Numbers of audit records and bundle versions that a replica keeps. Dropping older ones doesn't interrupt the hash chain.
 inline constexpr std::size_t MaxAuditRecords = 20'000;
 inline constexpr std::size_t MaxBundleHistory = 64;
 
-// Most proposals that wait for approvals.
+// Maximum number of proposals that await approvals; one more evicts the oldest.
 inline constexpr std::size_t MaxProposals = 64;
 
-// BLAKE2b-256.
+// BLAKE2b-256 (RFC 7693).
 using ChainHash = std::array<std::uint8_t, 32>;
 
-// One attempt to change something, refused ones too. `hash` covers all other fields and the hash before.
+// Record of one change, accepted or refused. `hash` covers all other fields, including the hash of the previous record.
 struct AuditRecord {
     std::uint64_t number = 0;
     std::int64_t receivedAt = 0;
@@ -44,9 +44,9 @@
 };
 
 enum class RolloutStage : std::uint8_t {
-    First, // Only the first balancers may take the version.
+    First, // Only the first balancers receive the version.
     All,
-    Stopped, // The first balancers keep it; the others stay below it.
+    Stopped, // The first balancers keep the version; the others stay at an earlier one.
 };
 
 struct BundleVersion {
@@ -76,6 +76,7 @@
     }
 };
 
+// Result of a change, kept to answer retries.
 struct CompletedChange {
     ChangeId change{};
     ChangeResult result;
@@ -92,25 +93,25 @@
     using Change = SignedChange;
     using Result = ChangeResult;
 
-    // Entries of this many bytes are replaced by a snapshot, which itself may hold 64 bundles of 1 MiB.
+    // Size of log entries that triggers a snapshot. A snapshot itself may hold 64 bundles of 1 MiB.
     static constexpr std::size_t CompactionBytes = std::size_t{64} << 20U;
 
-    // A change as the replicated log carries it, and a command of the log applied.
+    // Encodes a change as a log entry; applies a committed log entry.
     static Bytes encodeChange(const SignedChange &change);
     ChangeResult applyCommand(BytesView command);
 
-    // Takes the first operators; does nothing if there are any.
+    // Sets the initial operators; does nothing if there are operators already.
     void apply(const Genesis &genesis);
 
-    // Applies one committed change and answers it. A change id that was answered before is answered the
-    // same again and changes nothing.
+    // Applies a committed change and returns its result. A change id that was applied before returns its stored
+    // result and changes nothing.
     ChangeResult apply(const SignedChange &change);
 
-    // Version numbers start at 1; 0 without any.
+    // Number of the newest version, counted from 1; 0 if there is none.
     std::uint64_t latestVersion() const;
 
-    // The newest version that a balancer may have: the newest one, or the one before while the newest is
-    // only for the first balancers. Null without any.
+    // The newest version whose rollout includes this balancer: all balancers, or the first ones with this one among
+    // them. Null if there is none.
     const BundleVersion *versionFor(BalancerId balancer) const;
     const BundleVersion *find(std::uint64_t version) const;
     const std::deque<BundleVersion> &history() const;
@@ -118,25 +119,25 @@
     const std::vector<OperatorRecord> &operators() const;
     const std::deque<AuditRecord> &audit() const;
 
-    // The answer that a change id has got; null if it is not remembered.
+    // The stored result of a change; null if there is none.
     const ChangeResult *findResult(const ChangeId &change) const;
 
-    // The whole state as bytes, and back. False if the bytes are not a state.
+    // Encodes the whole state. restore() returns false if the bytes can't be decoded.
     Bytes serialize() const;
     bool restore(BytesView bytes);
 
 private:
-    ChangeResult decide(const SignedChange &change, std::string &action);
-    ChangeResult decideProposal(const SignedChange &change, const ProposeBundle &propose);
-    ChangeResult decideApproval(const SignedChange &change, const ApproveBundle &approve);
-    ChangeResult decideRollout(const UpdateRollout &steer);
-    ChangeResult decideOperator(const OperatorRecord &signer, const SetOperator &set);
-    ChangeResult acceptIfApproved(std::size_t proposal);
-    ChangeResult conflict() const;
+    ChangeResult execute(const SignedChange &change, std::string &action);
+    ChangeResult executeProposal(const SignedChange &change, const ProposeBundle &propose);
+    ChangeResult executeApproval(const SignedChange &change, const ApproveBundle &approve);
+    ChangeResult executeRollout(const UpdateRollout &steer);
+    ChangeResult executeOperator(const OperatorRecord &signer, const SetOperator &set);
+    ChangeResult publishIfApproved(std::size_t proposal);
+    ChangeResult versionConflict() const;
     std::uint32_t approvalsRequired() const;
     OperatorRecord *findOperator(std::string_view name);
     void record(const SignedChange &change, std::string action, const ChangeResult &result);
-    void remember(const ChangeId &change, const ChangeResult &result);
+    void storeResult(const ChangeId &change, const ChangeResult &result);
 
     std::vector<OperatorRecord> m_operators;
     std::deque<BundleVersion> m_history;
@@ -146,10 +147,10 @@
     std::map<ChangeId, ChangeResult> m_results;
 };
 
-// The hash that a record must carry.
+// Computes the hash of a record over all fields but `hash`.
 ChainHash auditRecordHash(const AuditRecord &record);
 
-// Checks a chain of consecutive records; the number of the first bad record, or empty if all are sound.
+// Verifies the hash chain of consecutive records; returns the number of the first invalid one, empty if all are valid.
 std::optional<std::uint64_t> firstInvalidRecord(std::span<const AuditRecord> records);
 
 } // namespace Robinrail
--- a/src/rollout.cpp
+++ b/src/rollout.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Rollout: offers, application and tracking.
+// Rollout: making and applying offers, and tracking of subscribers.
 #include "rollout.h"
 
 #include <algorithm>
@@ -84,12 +84,12 @@
     return OfferResult::Applied;
 }
 
-void RolloutAgent::handleHeartbeat(TimePoint now, const ControlBeat &beat)
+void RolloutAgent::handleHeartbeat(TimePoint now, const ControlBeat &heartbeat)
 {
-    if (beat.inContact) {
-        m_lastContact = now;
-        m_everContact = true;
-        m_newestNamed = std::max(m_newestNamed, beat.version);
+    if (heartbeat.inContact) {
+        m_lastQuorumContact = now;
+        m_hadQuorumContact = true;
+        m_newestAnnounced = std::max(m_newestAnnounced, heartbeat.version);
     }
 }
 
@@ -115,7 +115,7 @@
 
 bool RolloutAgent::confirmed(TimePoint now) const
 {
-    return m_everContact && now - m_lastContact < ConfirmationTimeout && m_newestNamed <= m_version && m_version > 0;
+    return m_hadQuorumContact && now - m_lastQuorumContact < ConfirmationTimeout && m_newestAnnounced <= m_version && m_version > 0;
 }
 
 void RolloutTracker::subscribe(TimePoint now, const Subscribe &subscribe)
@@ -154,8 +154,8 @@
     Progress progress;
     for (const auto &[id, subscriber] : m_subscribers) {
         const std::vector<BalancerId> &first = version.firstBalancers;
-        const bool mayHave = version.stage == RolloutStage::All || std::find(first.begin(), first.end(), id) != first.end();
-        if (subscriber.connected && mayHave) {
+        const bool included = version.stage == RolloutStage::All || std::find(first.begin(), first.end(), id) != first.end();
+        if (subscriber.connected && included) {
             ++progress.expected;
             progress.inForce += subscriber.version >= version.version ? 1 : 0;
         }
--- a/src/rollout.h
+++ b/src/rollout.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Rollout: how a committed bundle version reaches a balancer, and how the balancer takes it.
+// Rollout: distribution of committed bundle versions from control replicas to balancers.
 #pragma once
 
 #include "bundle.h"
@@ -12,38 +12,40 @@
 
 namespace Robinrail {
 
-// A replica tells its subscribers this often how things stand.
+// Interval between the heartbeats that a replica sends to subscribed balancers.
 inline constexpr Duration ControlHeartbeatInterval = std::chrono::seconds(1);
 
-// Without a replica in contact with a quorum for this long, a balancer calls its version unconfirmed.
+// A balancer reports its version as unconfirmed after this time without a heartbeat from a replica in contact with a quorum.
 inline constexpr Duration ConfirmationTimeout = std::chrono::seconds(3);
 
-// Makes the offer that brings a balancer from version `from` to `to`: a patch if that is shorter.
+// Makes an offer that updates a balancer from version `from` to `to`: a JSON Patch (RFC 6902) if it is shorter than the
+// whole document. A null `from` always gives the whole document.
 BundleOffer makeOffer(const BundleVersion *from, const BundleVersion &to, std::span<const OperatorRecord> operators);
 
 enum class OfferResult : std::uint8_t {
     Applied,
-    NotNewer, // Of the version in force or below: nothing ever goes back.
-    BaseMismatch, // The patch is for another base; ask for the whole.
-    Damaged, // The document is malformed or has another digest; nothing was changed.
+    NotNewer, // The offered version is not above the one in force; versions never decrease.
+    BaseMismatch, // The patch applies to another base version; the whole document must be requested.
+    Damaged, // The document is malformed or its digest differs; it was not applied.
 };
 
-// A balancer's side: the document in force, applied whole or not at all, and only upward.
+// The balancer's side: holds the bundle in force. Offers are applied atomically, and only if their version is higher.
 class RolloutAgent
 {
 public:
-    // Starts from what was kept on disk, if anything; the text must be a sound bundle.
+    // Restores the bundle saved on disk; false if the text is not a valid bundle.
     bool restore(std::uint64_t version, std::string_view text);
 
     OfferResult applyOffer(const BundleOffer &offer);
-    void handleHeartbeat(TimePoint now, const ControlBeat &beat);
+    void handleHeartbeat(TimePoint now, const ControlBeat &heartbeat);
 
     std::uint64_t version() const;
     const Bundle &bundle() const;
     std::string text() const;
     std::span<const OperatorRecord> operators() const;
 
-    // Whether a replica in contact with a quorum has lately named a version not above the one in force.
+    // Whether a replica in contact with a quorum sent a heartbeat within ConfirmationTimeout, and no such heartbeat ever
+    // announced a version above the one in force.
     bool confirmed(TimePoint now) const;
 
 private:
@@ -51,12 +53,12 @@
     nlohmann::json m_document;
     Bundle m_bundle;
     std::vector<OperatorRecord> m_operators;
-    TimePoint m_lastContact;
-    bool m_everContact = false;
-    std::uint64_t m_newestNamed = 0;
+    TimePoint m_lastQuorumContact;
+    bool m_hadQuorumContact = false;
+    std::uint64_t m_newestAnnounced = 0;
 };
 
-// A replica's side: which subscriber has which version.
+// The replica's side: tracks which version each subscribed balancer has in force.
 class RolloutTracker
 {
 public:
@@ -73,7 +75,7 @@
 
     std::vector<Subscriber> subscribers() const;
 
-    // How many connected balancers that may have `version` have it, of how many.
+    // Connected balancers that the rollout of a version includes, and how many of them have it in force.
     struct Progress {
         std::size_t inForce = 0;
         std::size_t expected = 0;
--- a/src/signature.cpp
+++ b/src/signature.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Signatures: libsodium.
+// Signatures: implementation with libsodium.
 #include "signature.h"
 
 #include <sodium.h>
--- a/src/signature.h
+++ b/src/signature.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Signatures: Ed25519 keys of operators, and hex for keys in files.
+// Signatures: Ed25519 (RFC 8032) keys of operators, and hex encoding.
 #pragma once
 
 #include "types.h"
@@ -25,7 +25,7 @@
 Signature sign(BytesView message, const SecretKey &key);
 bool verify(BytesView message, const Signature &signature, const PublicKey &key);
 
-// Lower-case hex, and back; empty if the text is not hex of just that size.
+// Encodes as lower-case hex. fromHex() returns false unless the text is hex for exactly `bytes.size()` bytes.
 std::string toHex(BytesView bytes);
 bool fromHex(std::string_view text, std::span<std::uint8_t> bytes);
 
--- a/tests/test_control_state.cpp
+++ b/tests/test_control_state.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control state: sign-off, roles, revocation, idempotent changes, staged rollout, audit trail.
+// Control state: approvals, roles, revocation, idempotent changes, staged rollout, audit trail.
 #include "control_state.h"
 #include "rollout.h"
 
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("a change applies once, and its resend gets the first answer, also after a snapshot")
+TEST_CASE("a change applies once, and a retry receives the first result, also after a snapshot")
 {
     Fixture fixture;
     const SignedChange change = fixture.change("admin", ProposeBundle{0, bundleText(1)});
@@ -60,7 +60,7 @@
     CHECK_FALSE(restored.restore(Bytes{1, 2, 3}));
 }
 
-TEST_CASE("a bundle that asks for two operators waits for the second")
+TEST_CASE("a bundle that requires two approvals is accepted only after the second")
 {
     Fixture fixture;
     fixture.apply("admin", ProposeBundle{0, bundleText(2)});
@@ -73,7 +73,7 @@
     CHECK(fixture.apply("admin", ApproveBundle{ChangeId{99}}).refusal == ChangeRefusal::UnknownProposal);
 }
 
-TEST_CASE("who may not sign is refused, and the refusal stands in the audit trail")
+TEST_CASE("changes without valid authorization are refused and recorded in the audit trail")
 {
     Fixture fixture;
     SignedChange forged = fixture.change("admin", ProposeBundle{0, bundleText(1)});
@@ -91,7 +91,7 @@
     CHECK(fixture.state.audit().front().refusal == ChangeRefusal::BadSignature);
 }
 
-TEST_CASE("a forged change does not burn the change id of the true one")
+TEST_CASE("a forged change does not block the change id of the genuine one")
 {
     Fixture fixture;
     const SignedChange change = fixture.change("admin", ProposeBundle{0, bundleText(1)});
@@ -101,7 +101,7 @@
     CHECK(fixture.state.apply(change).version == 1);
 }
 
-TEST_CASE("the audit trail shows any change to it")
+TEST_CASE("the hash chain reveals changed and missing audit records")
 {
     Fixture fixture;
     for (std::uint64_t version = 0; version < 5; ++version) {
@@ -121,7 +121,7 @@
     CHECK(firstInvalidRecord(changed) == 3);
 }
 
-TEST_CASE("a staged version reaches the first balancers, then all, or is stopped")
+TEST_CASE("a stopped rollout leaves its version on the first balancers only, and the next version reaches all")
 {
     Fixture fixture;
     fixture.apply("admin", ProposeBundle{0, bundleText(1)});
@@ -137,15 +137,15 @@
     CHECK(fixture.state.versionFor(BalancerId{4})->version == 3);
 }
 
-TEST_CASE("a balancer applies offers whole, only upward, by delta or by the whole")
+TEST_CASE("a balancer applies offers atomically and only upward, as a patch or as a whole document")
 {
     Fixture fixture;
     fixture.apply("admin", ProposeBundle{0, bundleText(1)});
-    std::string long2 = bundleText(1, R"(, "firstBalancers": [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17])");
-    fixture.apply("admin", ProposeBundle{1, long2});
-    std::string long3 = long2;
-    long3.replace(long3.find("17"), 2, "18");
-    fixture.apply("admin", ProposeBundle{2, long3});
+    std::string text2 = bundleText(1, R"(, "firstBalancers": [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17])");
+    fixture.apply("admin", ProposeBundle{1, text2});
+    std::string text3 = text2;
+    text3.replace(text3.find("17"), 2, "18");
+    fixture.apply("admin", ProposeBundle{2, text3});
     const auto offer = [&](std::uint64_t from, std::uint64_t to) {
         return makeOffer(fixture.state.find(from), *fixture.state.find(to), fixture.state.operators());
     };
@@ -157,10 +157,10 @@
     CHECK(agent.applyOffer(damaged) == OfferResult::Damaged);
     CHECK(agent.version() == 1);
     CHECK(agent.applyOffer(offer(0, 2)) == OfferResult::Applied);
-    const BundleOffer delta = offer(2, 3);
-    CHECK(delta.baseVersion == 2);
-    CHECK(delta.document.size() < offer(0, 3).document.size());
-    CHECK(agent.applyOffer(delta) == OfferResult::Applied);
+    const BundleOffer patch = offer(2, 3);
+    CHECK(patch.baseVersion == 2);
+    CHECK(patch.document.size() < offer(0, 3).document.size());
+    CHECK(agent.applyOffer(patch) == OfferResult::Applied);
     CHECK(agent.applyOffer(offer(0, 1)) == OfferResult::NotNewer);
     CHECK(agent.version() == 3);
     RolloutAgent restarted;
@@ -168,7 +168,7 @@
     CHECK(restarted.applyOffer(offer(0, 2)) == OfferResult::NotNewer);
 }
 
-TEST_CASE("a version is confirmed only while a replica in contact with a quorum says so")
+TEST_CASE("a version is confirmed only by recent heartbeats of a replica in contact with a quorum")
 {
     Fixture fixture;
     fixture.apply("admin", ProposeBundle{0, bundleText(1)});
