--- a/src/http.cpp
+++ b/src/http.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// HTTP: Boost.Beast.
+// HTTP: implementation with Boost.Beast.
 #include "http.h"
 
 #include <boost/asio/io_context.hpp>
@@ -21,7 +21,7 @@
     return {boost::asio::ip::address_v4(endpoint.address), endpoint.port};
 }
 
-HttpRequest unpack(const http::request<http::string_body> &message)
+HttpRequest toHttpRequest(const http::request<http::string_body> &message)
 {
     HttpRequest request;
     request.method = std::string(message.method_string());
@@ -39,8 +39,9 @@
 
 } // namespace
 
-// One connection: requests and answers in turn, until the client wants no more. Keeps itself alive through its
-// handlers. To open a connection costs several times what a request does, and targets call every second.
+// A server connection. Reads requests and writes responses in turn, and keeps itself alive through its handlers. It
+// persists between requests, as opening a connection costs several times what a request does and targets send one
+// about every second.
 class detail::HttpConnection : public std::enable_shared_from_this<detail::HttpConnection>
 {
 public:
@@ -57,73 +58,73 @@
 
     ~HttpConnection()
     {
-        rouse();
+        leaveIdle();
         --m_connections->open;
     }
 
-    // Reads the next request; the first one may take longer than a later one may keep us waiting.
-    void start(std::chrono::seconds patience = HttpTimeout)
+    // Reads the next request. After the first one the timeout is the shorter HttpIdleTimeout.
+    void readRequest(std::chrono::seconds timeout = HttpTimeout)
     {
         m_parser.emplace();
         m_parser->body_limit(MaxHttpBody);
-        m_stream.expires_after(patience);
+        m_stream.expires_after(timeout);
         http::async_read(m_stream, m_buffer, *m_parser, [self = shared_from_this()](beast::error_code error, std::size_t) {
-            self->rouse();
+            self->leaveIdle();
             if (!error) {
                 self->handle();
             }
         });
     }
 
-    // Closes a resting connection; false if a request has begun to come.
-    bool closeIfUnused()
+    // Closes an idle connection; false if part of a request has arrived.
+    bool closeIfIdle()
     {
         beast::error_code error;
         if (m_buffer.size() > 0 || m_stream.socket().available(error) > 0) {
             return false;
         }
-        rouse();
+        leaveIdle();
         m_stream.close();
         return true;
     }
 
 private:
-    void rest()
+    void enterIdle()
     {
-        m_connections->resting.push_back(this);
-        m_resting = std::prev(m_connections->resting.end());
-        start(HttpIdleTimeout);
+        m_connections->idle.push_back(this);
+        m_idlePosition = std::prev(m_connections->idle.end());
+        readRequest(HttpIdleTimeout);
     }
 
-    void rouse()
+    void leaveIdle()
     {
-        if (m_resting) {
-            m_connections->resting.erase(*std::exchange(m_resting, std::nullopt));
+        if (m_idlePosition) {
+            m_connections->idle.erase(*std::exchange(m_idlePosition, std::nullopt));
         }
     }
 
     void handle()
     {
-        m_handler(unpack(m_parser->get()), [self = shared_from_this()](HttpResponse reply) {
-            self->answer(std::move(reply));
+        m_handler(toHttpRequest(m_parser->get()), [self = shared_from_this()](HttpResponse response) {
+            self->writeResponse(std::move(response));
         });
     }
 
-    void answer(HttpResponse reply)
+    void writeResponse(HttpResponse response)
     {
         m_response = {};
-        m_response.result(reply.status);
-        m_response.set(http::field::content_type, reply.contentType);
-        if (!reply.location.empty()) {
-            m_response.set(http::field::location, reply.location);
+        m_response.result(response.status);
+        m_response.set(http::field::content_type, response.contentType);
+        if (!response.location.empty()) {
+            m_response.set(http::field::location, response.location);
         }
-        m_response.keep_alive(m_parser->get().keep_alive() && !reply.closeConnection);
-        m_response.body() = std::move(reply.body);
+        m_response.keep_alive(m_parser->get().keep_alive() && !response.closeConnection);
+        m_response.body() = std::move(response.body);
         m_response.prepare_payload();
         m_stream.expires_after(HttpTimeout);
         http::async_write(m_stream, m_response, [self = shared_from_this()](beast::error_code error, std::size_t) {
             if (!error && self->m_response.keep_alive()) {
-                return self->rest();
+                return self->enterIdle();
             }
             beast::error_code ignored;
             self->m_stream.socket().shutdown(Tcp::socket::shutdown_send, ignored);
@@ -132,20 +133,20 @@
 
     beast::tcp_stream m_stream;
     beast::flat_buffer m_buffer;
-    std::optional<http::request_parser<http::string_body>> m_parser; // Of the present request.
+    std::optional<http::request_parser<http::string_body>> m_parser; // Parser of the current request.
     http::response<http::string_body> m_response;
     const HttpHandler &m_handler;
     std::shared_ptr<HttpConnections> m_connections;
-    std::optional<std::list<HttpConnection *>::iterator> m_resting; // Its place among those that rest.
+    std::optional<std::list<HttpConnection *>::iterator> m_idlePosition; // Position in HttpConnections::idle while idle.
 };
 
 namespace {
 
-// One call to a server: connect, write, read. Keeps itself alive through its handlers.
-class Call : public std::enable_shared_from_this<Call>
+// A client request: connects, writes the request, reads the response. Keeps itself alive through its handlers.
+class ClientCall : public std::enable_shared_from_this<ClientCall>
 {
 public:
-    Call(boost::asio::io_context &io, const HttpRequest &request, HttpCallback done)
+    ClientCall(boost::asio::io_context &io, const HttpRequest &request, HttpCallback done)
         : m_stream(io)
         , m_done(std::move(done))
     {
@@ -181,18 +182,18 @@
     void read()
     {
         http::async_read(m_stream, m_buffer, m_response, [self = shared_from_this()](beast::error_code error, std::size_t) {
-            self->m_done(error ? std::nullopt : std::optional(self->reply()));
+            self->m_done(error ? std::nullopt : std::optional(self->toHttpResponse()));
         });
     }
 
-    HttpResponse reply()
+    HttpResponse toHttpResponse()
     {
-        HttpResponse reply;
-        reply.status = m_response.result_int();
-        reply.contentType = std::string(m_response[http::field::content_type]);
-        reply.location = std::string(m_response[http::field::location]);
-        reply.body = std::move(m_response.body());
-        return reply;
+        HttpResponse response;
+        response.status = m_response.result_int();
+        response.contentType = std::string(m_response[http::field::content_type]);
+        response.location = std::string(m_response[http::field::location]);
+        response.body = std::move(m_response.body());
+        return response;
     }
 
     beast::tcp_stream m_stream;
@@ -204,10 +205,10 @@
 
 } // namespace
 
-HttpServer::HttpServer(boost::asio::io_context &io, HttpHandler handler, std::size_t most)
+HttpServer::HttpServer(boost::asio::io_context &io, HttpHandler handler, std::size_t maxConnections)
     : m_acceptor(io)
     , m_handler(std::move(handler))
-    , m_connections(std::make_shared<detail::HttpConnections>(detail::HttpConnections{most, 0, {}}))
+    , m_connections(std::make_shared<detail::HttpConnections>(detail::HttpConnections{maxConnections, 0, {}}))
 {
 }
 
@@ -218,14 +219,14 @@
 
 namespace {
 
-// Makes room for one more connection if need be. Whether there is any.
-bool makeRoom(detail::HttpConnections &connections)
+// Closes an idle connection if the maximum is reached. Returns whether one more connection may be opened.
+bool reserveConnection(detail::HttpConnections &connections)
 {
-    if (connections.open < connections.most) {
+    if (connections.open < connections.max) {
         return true;
     }
-    for (detail::HttpConnection *connection : connections.resting) {
-        if (connection->closeIfUnused()) {
+    for (detail::HttpConnection *connection : connections.idle) {
+        if (connection->closeIfIdle()) {
             return true;
         }
     }
@@ -257,8 +258,8 @@
         if (error == boost::asio::error::operation_aborted) {
             return;
         }
-        if (!error && makeRoom(*m_connections)) {
-            std::make_shared<detail::HttpConnection>(std::move(socket), m_handler, m_connections)->start();
+        if (!error && reserveConnection(*m_connections)) {
+            std::make_shared<detail::HttpConnection>(std::move(socket), m_handler, m_connections)->readRequest();
         }
         accept();
     });
@@ -266,18 +267,18 @@
 
 void startHttpRequest(boost::asio::io_context &io, Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout, HttpCallback done)
 {
-    std::make_shared<Call>(io, request, std::move(done))->start(endpoint, timeout);
+    std::make_shared<ClientCall>(io, request, std::move(done))->start(endpoint, timeout);
 }
 
 std::optional<HttpResponse> sendHttpRequest(Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout)
 {
     boost::asio::io_context io;
-    std::optional<HttpResponse> answer;
-    startHttpRequest(io, endpoint, request, timeout, [&answer](std::optional<HttpResponse> reply) {
-        answer = std::move(reply);
+    std::optional<HttpResponse> response;
+    startHttpRequest(io, endpoint, request, timeout, [&response](std::optional<HttpResponse> received) {
+        response = std::move(received);
     });
     io.run();
-    return answer;
+    return response;
 }
 
 std::string queryValue(std::string_view query, std::string_view key)
--- a/src/http.h
+++ b/src/http.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// HTTP: the small server behind the administration API, and the client that the operator's tool uses.
+// HTTP: a minimal HTTP/1.1 server for the administration API, and a client.
 #pragma once
 
 #include "types.h"
@@ -15,24 +15,25 @@
 
 namespace Robinrail {
 
-// Largest request body, bytes, and how long a connection may take for one request.
+// Maximum size of a request body in bytes, and time limits for reading a connection's first request and for writing a response.
 inline constexpr std::size_t MaxHttpBody = std::size_t{2} << 20U;
 inline constexpr std::chrono::seconds HttpTimeout{10};
 
-// How long a connection may rest before its next request: three announcements of a target that makes them every
-// 1.2 s. A target that went to another replica would hold this one's connection for nothing.
+// Time limit for the next request on a kept connection: three announcements of a target that sends one every 1.2 s.
+// A longer one would keep connections of targets that have moved to another replica.
 inline constexpr std::chrono::seconds HttpIdleTimeout{4};
 
-// Most open connections; for one more the one that has rested longest is closed, or the new one if none rests. With
-// 12,630 targets at 5 replicas each has 2,526. Together with MaxNodeLinks it is below the 3,896 descriptors that sockets
-// may use on the smallest VM for a replica, so that a flood of connections never costs a link between nodes.
+// Maximum number of open connections. One more closes the connection that has been idle longest, or is itself refused if
+// none is idle. With 12,630 targets at 5 replicas, each replica has 2,526. The sum with MaxNodeLinks is below the 3,896
+// descriptors available for sockets on the smallest VM for a replica, so that a flood of connections never costs a link
+// between nodes.
 inline constexpr std::size_t MaxHttpConnections = 2560;
 
 struct HttpRequest {
     std::string method;
-    std::string path; // Without the query.
+    std::string path; // Excluding the query.
     std::string query;
-    std::string token; // Of "Authorization: Bearer".
+    std::string token; // From "Authorization: Bearer"; empty without it.
     std::string body;
 };
 
@@ -40,8 +41,8 @@
     unsigned status = 200;
     std::string contentType = "application/json";
     std::string body;
-    std::string location = {}; // Of a redirection; empty otherwise.
-    bool closeConnection = false; // The client will not ask here again: its connection is closed behind the answer.
+    std::string location = {}; // Target of a redirection; empty otherwise.
+    bool closeConnection = false; // Close the connection after this response, as the client sends its next request elsewhere.
 };
 
 using HttpResponder = std::function<void(HttpResponse)>;
@@ -51,11 +52,11 @@
 
 class HttpConnection;
 
-// The connections of one server.
+// The open connections of one server.
 struct HttpConnections {
-    std::size_t most;
+    std::size_t max;
     std::size_t open = 0;
-    std::list<HttpConnection *> resting; // Without a request under way, longest rest first.
+    std::list<HttpConnection *> idle; // Between two requests, longest idle first.
 };
 
 } // namespace detail
@@ -63,13 +64,12 @@
 class HttpServer
 {
 public:
-    // Keeps `most` connections open at the most.
-    HttpServer(boost::asio::io_context &io, HttpHandler handler, std::size_t most = MaxHttpConnections);
+    HttpServer(boost::asio::io_context &io, HttpHandler handler, std::size_t maxConnections = MaxHttpConnections);
 
-    // How many connections are open.
+    // Number of open connections.
     std::size_t connections() const;
 
-    // Binds an address; false if it can't be bound.
+    // Binds an address and starts to accept connections; false if it can't be bound.
     bool listen(Endpoint endpoint);
 
 private:
@@ -80,16 +80,16 @@
     std::shared_ptr<detail::HttpConnections> m_connections;
 };
 
-// The answer to a call; empty if the server gave none in time.
+// Receives the response; empty if the request failed or timed out.
 using HttpCallback = std::function<void(std::optional<HttpResponse>)>;
 
-// Sends one request; `done` runs once, from within `io`.
+// Sends one request asynchronously; `done` is called once, from `io`.
 void startHttpRequest(boost::asio::io_context &io, Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout, HttpCallback done);
 
-// Sends one request and waits for the answer; empty if the server can't be reached in time.
+// Sends one request and waits for the response; empty if the request failed or timed out.
 std::optional<HttpResponse> sendHttpRequest(Endpoint endpoint, const HttpRequest &request, std::chrono::milliseconds timeout);
 
-// The value of a key in a query; empty without it.
+// The value of a key in a query string, not percent-decoded; empty if the key is missing.
 std::string queryValue(std::string_view query, std::string_view key);
 
 } // namespace Robinrail
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -115,8 +115,8 @@
 mutate "links: secure links may fall silent for good" src/secure_links.cpp 'link.times.silent(now) && (link.pinged' \
     'link.times.silent(now) && (link.tag == ~std::uint64_t{0}' '*secure link that falls silent*'
 mutate "links: every connection is closed after its answer" src/http.cpp \
-    'm_response.keep_alive(m_parser->get().keep_alive() && !reply.closeConnection);' 'm_response.keep_alive(false);' '*keeps its connection*'
-mutate "links: the longest open connection is closed, busy or not" src/http.cpp 'if (connection->closeIfUnused()) {' \
+    'm_response.keep_alive(m_parser->get().keep_alive() && !response.closeConnection);' 'm_response.keep_alive(false);' '*keeps its connection*'
+mutate "links: the longest open connection is closed, busy or not" src/http.cpp 'if (connection->closeIfIdle()) {' \
     'if (connection == nullptr) {' '*flood of connections*'
 mutate "directory: a page tells more than it holds" src/directory_log.cpp 'slice.upTo = std::prev(at)->first;' \
     'slice.upTo = m_newest;' '*what changed after any number*,*ends alike*'
