--- a/src/api_json.cpp
+++ b/src/api_json.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// API JSON: conversions.
+// API JSON: implementation.
 #include "api_json.h"
 
 #include "settings.h"
@@ -185,11 +185,11 @@
 std::optional<AuditRecord> auditRecordFromApi(const Json &json)
 {
     AuditRecord record;
-    const bool sound = json.is_object() && readNumber(json, "number", record.number) && readNumber(json, "receivedAt", record.receivedAt)
+    const bool valid = json.is_object() && readNumber(json, "number", record.number) && readNumber(json, "receivedAt", record.receivedAt)
         && readText(json, "operator", record.operatorName) && readText(json, "action", record.action) && readHex(json, "change", record.change)
         && readNumber(json, "refusalCode", record.refusal) && readNumber(json, "version", record.version) && readHex(json, "previous", record.previous)
         && readHex(json, "hash", record.hash);
-    return sound ? std::optional(record) : std::nullopt;
+    return valid ? std::optional(record) : std::nullopt;
 }
 
 std::string_view nameOf(RolloutStage stage)
--- a/src/api_json.h
+++ b/src/api_json.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// API JSON: how values of the library look in the administration API.
+// API JSON: conversion between library types and the JSON of the administration API.
 #pragma once
 
 #include "control_core.h"
@@ -24,7 +24,7 @@
 nlohmann::json toApi(const Event &event, std::uint64_t number);
 nlohmann::json toApi(const SignedChange &change);
 
-// Reads back what toApi() made; empty if the JSON has another shape.
+// Parse JSON made by toApi(); empty if it is malformed.
 std::optional<SignedChange> signedChangeFromApi(std::string_view text);
 std::optional<AuditRecord> auditRecordFromApi(const nlohmann::json &json);
 
@@ -34,7 +34,7 @@
 
 HttpResponse jsonResponse(const nlohmann::json &body, unsigned status = 200);
 
-// An error in the form that all errors of the API have: {"error": …, "detail": …}.
+// The error format of the API: {"error": …, "detail": …}.
 HttpResponse errorResponse(unsigned status, std::string_view error, std::string_view detail = {});
 
 } // namespace Robinrail
--- a/src/balancer_api.cpp
+++ b/src/balancer_api.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Balancer daemon, administration API: events, state, drains and figures over HTTP.
+// Balancer daemon: the administration API over HTTP, with events, state, drains and metrics.
 #include "balancer_daemon.h"
 
 #include "api_json.h"
@@ -29,8 +29,8 @@
     if (event.kind == EventKind::RequestAnswered) {
         m_latency.record(event.took);
     }
-    const bool rare = event.kind >= EventKind::TargetJoined && event.kind != EventKind::PacketRejected;
-    LogLine line(rare ? LogLevel::Info : LogLevel::Debug, nameOf(event.kind));
+    const bool infrequent = event.kind >= EventKind::TargetJoined && event.kind != EventKind::PacketRejected;
+    LogLine line(infrequent ? LogLevel::Info : LogLevel::Debug, nameOf(event.kind));
     if (value(event.flow) != 0) {
         line.with("flow", value(event.flow));
     }
@@ -133,20 +133,21 @@
 
 HttpResponse BalancerDaemon::events(const HttpRequest &request) const
 {
-    constexpr std::size_t MaxAtOnce = 1000;
+    constexpr std::size_t MaxEventsPerResponse = 1000;
     const std::uint64_t after = std::strtoull(queryValue(request.query, "after").c_str(), nullptr, 10);
     Json list = Json::array();
     std::uint64_t number = m_lastEvent - m_events.size();
     for (const Event &event : m_events) {
         ++number;
-        if (number > after && list.size() < MaxAtOnce) {
+        if (number > after && list.size() < MaxEventsPerResponse) {
             list.push_back(toApi(event, number));
         }
     }
     return jsonResponse(list);
 }
 
-// A number names a flow that this balancer may own; a sealed id in hex is opened first.
+// `id` is either the number of a flow, looked up on this balancer, or a sealed connection id in hex, which is decrypted
+// to find the owner and the flow.
 HttpResponse BalancerDaemon::explainFlow(std::string_view id)
 {
     BalancerContext &context = m_core.context();
@@ -182,8 +183,8 @@
     return jsonResponse(body);
 }
 
-// Drains this balancer, or marks a target as draining here, from where gossip carries it on. Signed by
-// an operator for this run of this balancer, so that an old order can't be played again.
+// Drains this balancer, or marks a target as draining, which gossip distributes to the other balancers. The order is
+// signed by an operator for the current incarnation of this balancer, so that it can't be replayed after a restart.
 HttpResponse BalancerDaemon::drain(const HttpRequest &request)
 {
     const std::optional<SignedChange> order = signedChangeFromApi(request.body);
@@ -192,10 +193,10 @@
         return errorResponse(HttpBadRequest, "malformed-order", "see docs/API.md");
     }
     const DrainOrder &drain = std::get<DrainOrder>(*content);
-    const bool signedByOperator = std::any_of(m_rollout.operators().begin(), m_rollout.operators().end(), [&](const OperatorRecord &record) {
+    const bool authentic = std::any_of(m_rollout.operators().begin(), m_rollout.operators().end(), [&](const OperatorRecord &record) {
         return record.name == order->operatorName && !record.revoked && verify(bytesToSign(*order), order->signature, record.key);
     });
-    if (!signedByOperator || drain.balancer != BalancerKey{m_file.balancer, m_memory.incarnation}) {
+    if (!authentic || drain.balancer != BalancerKey{m_file.balancer, m_memory.incarnation}) {
         return errorResponse(HttpForbidden, "not-permitted", "signature, operator or incarnation does not fit");
     }
     LogLine(LogLevel::Info, "drain-ordered").with("operator", order->operatorName).with("target", value(drain.target));
--- a/src/bundle.cpp
+++ b/src/bundle.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Bundles: strict JSON, schema check by valijson, and the checks that a schema can't express.
+// Bundles: strict JSON parsing, schema validation with valijson, and the checks that a schema can't express.
 #include "bundle.h"
 
 #include <nlohmann/json.hpp>
@@ -17,7 +17,7 @@
 
 namespace {
 
-// A SAX handler that builds a document and stops at a duplicate key, which the plain parser lets pass.
+// SAX handler that builds a document and rejects duplicate keys, which the default parser accepts.
 class StrictBuilder : public nlohmann::detail::json_sax_dom_parser<Json>
 {
 public:
@@ -26,7 +26,7 @@
     {
     }
 
-    bool start_object(std::size_t size) // NOLINT(readability-identifier-naming): the library's name
+    bool start_object(std::size_t size) // NOLINT(readability-identifier-naming): named by the library
     {
         m_keys.emplace_back();
         return json_sax_dom_parser::start_object(size);
@@ -70,7 +70,7 @@
     std::size_t m_errorAt = 0;
 };
 
-std::string pointerOf(const std::vector<std::string> &context)
+std::string jsonPointerOf(const std::vector<std::string> &context)
 {
     std::string pointer;
     for (std::string part : context) {
@@ -88,20 +88,20 @@
     return pointer;
 }
 
-std::string valueAt(const Json &document, const std::string &pointer)
+std::string describeValue(const Json &document, const std::string &pointer)
 {
-    constexpr std::size_t MaxValue = 60;
+    constexpr std::size_t MaxLength = 60;
     const Json::json_pointer at(pointer);
     const std::string text = document.contains(at) ? document.at(at).dump() : "nothing";
-    return text.size() > MaxValue ? text.substr(0, MaxValue) + "..." : text;
+    return text.size() > MaxLength ? text.substr(0, MaxLength) + "..." : text;
 }
 
-bool unique(const Json &list, const char *key, const char *pointer, JsonError &fault)
+bool hasDistinctValues(const Json &list, const char *key, const char *pointer, JsonError &error)
 {
     std::set<std::string> seen;
     for (const Json &entry : list) {
         if (!seen.insert(entry.at(key).dump()).second) {
-            fault = {pointer, entry.at(key).dump() + " twice", std::string("a different ") + key + " for each entry"};
+            error = {pointer, entry.at(key).dump() + " twice", std::string("a different ") + key + " for each entry"};
             return false;
         }
     }
@@ -115,23 +115,23 @@
     return "at " + (pointer.empty() ? std::string("/") : pointer) + ": found " + found + ", expected " + expected;
 }
 
-std::optional<Json> parseStrictJson(std::string_view text, JsonError &fault)
+std::optional<Json> parseStrictJson(std::string_view text, JsonError &error)
 {
     Json document;
     StrictBuilder builder(document);
     const bool parsed = Json::sax_parse(text.begin(), text.end(), &builder, Json::input_format_t::json, true);
     if (!builder.duplicate().empty()) {
-        fault = {"", "the key \"" + builder.duplicate() + "\" twice in one object", "each key once"};
+        error = {"", "the key \"" + builder.duplicate() + "\" twice in one object", "each key once"};
         return std::nullopt;
     }
     if (!parsed) {
-        fault = {"", "no JSON at byte " + std::to_string(builder.errorAt()), "one JSON document"};
+        error = {"", "no JSON at byte " + std::to_string(builder.errorAt()), "one JSON document"};
         return std::nullopt;
     }
     return document;
 }
 
-bool matchesSchema(const Json &document, std::string_view schemaText, JsonError &fault)
+bool matchesSchema(const Json &document, std::string_view schemaText, JsonError &error)
 {
     const Json schemaJson = Json::parse(schemaText);
     valijson::Schema schema;
@@ -142,28 +142,29 @@
     if (validator.validate(schema, valijson::adapters::NlohmannJsonAdapter(document), &results)) {
         return true;
     }
-    // The deepest error is the most telling: outer ones only repeat that something inside is wrong.
-    valijson::ValidationResults::Error error;
+    // Reports the innermost error, as the outer ones only say that something inside is invalid.
+    valijson::ValidationResults::Error candidate;
     valijson::ValidationResults::Error deepest;
-    while (results.popError(error)) {
-        if (error.context.size() >= deepest.context.size()) {
-            deepest = error;
+    while (results.popError(candidate)) {
+        if (candidate.context.size() >= deepest.context.size()) {
+            deepest = candidate;
         }
     }
-    const std::string pointer = pointerOf(deepest.context);
-    fault = {pointer, valueAt(document, pointer), deepest.description};
+    const std::string pointer = jsonPointerOf(deepest.context);
+    error = {pointer, describeValue(document, pointer), deepest.description};
     return false;
 }
 
-std::optional<Bundle> parseBundle(std::string_view text, JsonError &fault)
+std::optional<Bundle> parseBundle(std::string_view text, JsonError &error)
 {
-    const std::optional<Json> document = parseStrictJson(text, fault);
-    if (!document || !matchesSchema(*document, bundleSchema(), fault)) {
+    const std::optional<Json> document = parseStrictJson(text, error);
+    if (!document || !matchesSchema(*document, bundleSchema(), error)) {
         return std::nullopt;
     }
     const Json &services = document->at("services");
     const Json &dataCentres = document->at("dataCentres");
-    if (!unique(services, "id", "/services", fault) || !unique(services, "name", "/services", fault) || !unique(dataCentres, "id", "/dataCentres", fault)) {
+    if (!hasDistinctValues(services, "id", "/services", error) || !hasDistinctValues(services, "name", "/services", error)
+        || !hasDistinctValues(dataCentres, "id", "/dataCentres", error)) {
         return std::nullopt;
     }
     Bundle bundle;
--- a/src/bundle.h
+++ b/src/bundle.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Bundles: the versioned configuration that operators sign off, parsed and checked.
+// Bundles: the versioned configuration that operators sign and approve; parsing and validation.
 #pragma once
 
 #include "balancer_context.h"
@@ -13,7 +13,7 @@
 
 namespace Robinrail {
 
-// What is wrong with a JSON document: where, what was found, and what was expected.
+// The first error in a JSON document: its JSON Pointer (RFC 6901), the value found, and what was expected.
 struct JsonError {
     std::string pointer;
     std::string found;
@@ -27,10 +27,10 @@
     std::string name;
 };
 
-// How changes are accepted and rolled out.
+// Approval and rollout policy of bundle changes.
 struct BundlePolicy {
-    std::uint32_t approvals = 1;
-    std::vector<BalancerId> firstBalancers; // They get a new version first; empty: all at once.
+    std::uint32_t approvals = 1; // Number of operators that must approve the next bundle.
+    std::vector<BalancerId> firstBalancers; // Receive a new version before the others; if empty, all receive it at once.
 };
 
 struct Bundle {
@@ -39,19 +39,19 @@
     BundlePolicy policy;
 };
 
-// Parses JSON strictly: a duplicate key is an error, and so is anything after the document.
-std::optional<nlohmann::json> parseStrictJson(std::string_view text, JsonError &fault);
+// Parses JSON strictly: duplicate keys and trailing content are errors.
+std::optional<nlohmann::json> parseStrictJson(std::string_view text, JsonError &error);
 
-// Checks a document against one of the published schemas in schemas/.
-bool matchesSchema(const nlohmann::json &document, std::string_view schema, JsonError &fault);
+// Validates a document against one of the published schemas in schemas/.
+bool matchesSchema(const nlohmann::json &document, std::string_view schema, JsonError &error);
 
-// The published schemas.
+// Texts of the published schemas.
 std::string_view bundleSchema();
 std::string_view balancerSettingsSchema();
 std::string_view controlSettingsSchema();
 std::string_view steeringSettingsSchema();
 
-// Parses and checks a bundle text; empty with `fault` set if it is not valid.
-std::optional<Bundle> parseBundle(std::string_view text, JsonError &fault);
+// Parses and validates the text of a bundle; empty with `error` set if it is not valid.
+std::optional<Bundle> parseBundle(std::string_view text, JsonError &error);
 
 } // namespace Robinrail
