--- a/src/control_daemon.cpp
+++ b/src/control_daemon.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control daemon: the loop of a control replica, its links, and what it offers to balancers.
+// Control daemon: event loop and links of a control replica, and offers to balancers.
 #include "control_daemon.h"
 
 #include "net.h"
@@ -68,10 +68,10 @@
     const TimePoint now = monotonicNow();
     m_links.tick(now);
     m_driver.core().tick(now);
-    join(now);
-    beat(now);
+    requestJoin(now);
+    sendHeartbeats(now);
     flush();
-    m_timer.expires_after(ControlTick);
+    m_timer.expires_after(ControlTickInterval);
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             tick();
@@ -79,7 +79,7 @@
     });
 }
 
-// Everything that arrives in one turn of the event loop shares one sync.
+// All messages handled in one iteration of the event loop share one sync of the disk.
 void ControlDaemon::scheduleFlush()
 {
     if (m_flushScheduled) {
@@ -94,16 +94,16 @@
 
 void ControlDaemon::flush()
 {
-    const bool works = m_driver.round([this](const RaftSend &send) {
+    const bool persisted = m_driver.round([this](const RaftSend &send) {
         sendRaft(send);
     });
-    if (!works) {
-        // A replica whose disk fails must not acknowledge anything any more.
+    if (!persisted) {
+        // A replica whose disk has failed must not acknowledge anything more.
         m_io.stop();
         return;
     }
-    for (const ControlReply &answer : m_driver.core().takeReplies()) {
-        reply(answer);
+    for (const ControlReply &reply : m_driver.core().takeReplies()) {
+        completeRequest(reply);
     }
     offerVersions();
 }
@@ -124,7 +124,7 @@
     }
 }
 
-void ControlDaemon::join(TimePoint now)
+void ControlDaemon::requestJoin(TimePoint now)
 {
     if (m_driver.core().raft().role() != RaftRole::Joining || now < m_nextJoin) {
         return;
@@ -182,11 +182,11 @@
 
 void ControlDaemon::offerVersions()
 {
-    const std::uint64_t applied = value(m_driver.core().raft().commitIndex());
-    if (applied == m_seenVersion) {
+    const std::uint64_t committed = value(m_driver.core().raft().commitIndex());
+    if (committed == m_offeredCommitIndex) {
         return;
     }
-    m_seenVersion = applied;
+    m_offeredCommitIndex = committed;
     for (const RolloutTracker::Subscriber &subscriber : m_tracker.subscribers()) {
         for (const LinkHandle link : m_links.linksTo(PeerRole::Balancer, value(subscriber.balancer.id))) {
             offerTo(link, subscriber.balancer.id);
@@ -200,20 +200,20 @@
     if (version == nullptr || m_offered[link] >= version->version) {
         return;
     }
-    std::uint64_t has = m_offered[link];
+    std::uint64_t known = m_offered[link];
     for (const RolloutTracker::Subscriber &subscriber : m_tracker.subscribers()) {
-        has = subscriber.balancer.id == balancer ? std::max(has, subscriber.version) : has;
+        known = subscriber.balancer.id == balancer ? std::max(known, subscriber.version) : known;
     }
     m_offered[link] = version->version;
-    m_links.send(link, makeOffer(m_driver.core().state().find(has), *version, m_driver.core().state().operators()));
+    m_links.send(link, makeOffer(m_driver.core().state().find(known), *version, m_driver.core().state().operators()));
 }
 
-void ControlDaemon::beat(TimePoint now)
+void ControlDaemon::sendHeartbeats(TimePoint now)
 {
-    if (now < m_nextBeat) {
+    if (now < m_nextHeartbeat) {
         return;
     }
-    m_nextBeat = now + ControlHeartbeatInterval;
+    m_nextHeartbeat = now + ControlHeartbeatInterval;
     for (const RolloutTracker::Subscriber &subscriber : m_tracker.subscribers()) {
         const BundleVersion *version = m_driver.core().state().versionFor(subscriber.balancer.id);
         const ControlBeat message{version != nullptr ? version->version : 0, m_driver.core().raft().inContact(now)};
--- a/src/control_daemon.h
+++ b/src/control_daemon.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control daemon: sockets, files and timers around a control core.
+// Control daemon: runs a control core with sockets, storage and timers.
 #pragma once
 
 #include "control_core.h"
@@ -17,36 +17,36 @@
 
 namespace Robinrail {
 
-// The core's clock runs in steps of this.
-inline constexpr std::chrono::milliseconds ControlTick{15};
+// Interval between calls of the core's tick().
+inline constexpr std::chrono::milliseconds ControlTickInterval{15};
 
-// A replica without a cluster asks to be taken in this often.
+// Interval between the join requests of a replica that belongs to no cluster.
 inline constexpr Duration JoinInterval = std::chrono::milliseconds(400);
 
 class ControlDaemon
 {
 public:
-    // `storage` must be open; with `testFaults` the API can cut links.
+    // `storage` must be open. `testFaults` enables the API call that drops traffic on links, for tests.
     ControlDaemon(boost::asio::io_context &io, ControlFile file, RaftStorage storage, bool testFaults);
 
-    // Binds and begins; false if an address can't be bound.
+    // Binds the listening addresses and starts the timers; false if an address can't be bound.
     bool start();
 
 private:
-    struct OpenRequest {
+    struct PendingRequest {
         HttpResponder respond;
-        std::function<HttpResponse()> answer; // Of a read, once it is confirmed.
+        std::function<HttpResponse()> read; // Makes the response of a read once a quorum has confirmed it; empty for a change.
     };
 
     void tick();
     void scheduleFlush();
     void flush();
     void sendRaft(const RaftSend &send);
-    void join(TimePoint now);
-    void reply(const ControlReply &reply);
+    void requestJoin(TimePoint now);
+    void completeRequest(const ControlReply &reply);
     void offerVersions();
     void offerTo(LinkHandle link, BalancerId balancer);
-    void beat(TimePoint now);
+    void sendHeartbeats(TimePoint now);
 
     void onMessage(LinkHandle link, const Hello &peer, const LinkMessage &message);
     void onRaft(const RaftEnvelope &envelope);
@@ -58,7 +58,7 @@
     HttpResponse status() const;
     HttpResponse metrics() const;
     HttpResponse setTestFaults(const HttpRequest &request);
-    HttpResponse notLeader() const;
+    HttpResponse notLeaderResponse() const;
 
     boost::asio::io_context &m_io;
     ControlFile m_file;
@@ -69,14 +69,14 @@
     boost::asio::steady_timer m_timer;
     boost::asio::signal_set m_signals;
     RolloutTracker m_tracker;
-    std::map<LinkHandle, std::uint64_t> m_offered; // Newest version offered on a link.
-    std::map<std::uint64_t, OpenRequest> m_open;
+    std::map<LinkHandle, std::uint64_t> m_offered; // Newest version offered on each link.
+    std::map<std::uint64_t, PendingRequest> m_pendingRequests; // By ticket.
     std::uint64_t m_lastTicket = 0;
-    std::uint64_t m_seenVersion = 0;
+    std::uint64_t m_offeredCommitIndex = 0; // Commit index at the last offer to all subscribers.
     ReachWatch m_reach;
     bool m_flushScheduled = false;
     TimePoint m_nextJoin;
-    TimePoint m_nextBeat;
+    TimePoint m_nextHeartbeat;
 };
 
 } // namespace Robinrail
--- a/src/control_daemon_api.cpp
+++ b/src/control_daemon_api.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control daemon: the administration API, with its reads, changes and figures.
+// Control daemon: the administration API, with reads, changes and metrics.
 #include "api_json.h"
 #include "control_daemon.h"
 #include "metrics.h"
@@ -61,48 +61,49 @@
         return respond(errorResponse(HttpBadRequest, "malformed-change", "see docs/API.md"));
     }
     change->receivedAt = wallClockSeconds();
-    m_open[++m_lastTicket] = {respond, {}};
+    m_pendingRequests[++m_lastTicket] = {respond, {}};
     m_driver.core().submit(monotonicNow(), m_lastTicket, *change);
     scheduleFlush();
 }
 
-// Reads are linearizable: they are answered only once a quorum confirmed that this replica still leads.
+// Reads are linearizable, as they are answered only after a quorum has confirmed that this replica still leads. With
+// stale=true they are answered from the local state.
 void ControlDaemon::handleRead(const HttpRequest &request, const HttpResponder &respond)
 {
     if (queryValue(request.query, "stale") == "true") {
         return respond(readState(request));
     }
-    m_open[++m_lastTicket] = {respond, [this, request] {
-                                  return readState(request);
-                              }};
+    m_pendingRequests[++m_lastTicket] = {respond, [this, request] {
+                                             return readState(request);
+                                         }};
     m_driver.core().read(monotonicNow(), m_lastTicket);
     scheduleFlush();
 }
 
-void ControlDaemon::reply(const ControlReply &answer)
+void ControlDaemon::completeRequest(const ControlReply &reply)
 {
-    const auto at = m_open.find(answer.ticket);
-    if (at == m_open.end()) {
+    const auto at = m_pendingRequests.find(reply.ticket);
+    if (at == m_pendingRequests.end()) {
         return;
     }
-    const OpenRequest open = std::move(at->second);
-    m_open.erase(at);
-    switch (answer.status) {
+    const PendingRequest pending = std::move(at->second);
+    m_pendingRequests.erase(at);
+    switch (reply.status) {
     case ControlStatus::NotLeader:
-        return open.respond(notLeader());
+        return pending.respond(notLeaderResponse());
     case ControlStatus::Unknown:
-        return open.respond(errorResponse(HttpUnavailable, "outcome-unknown", "send the same change again"));
+        return pending.respond(errorResponse(HttpUnavailable, "outcome-unknown", "send the same change again"));
     case ControlStatus::Done:
         break;
     }
-    if (open.answer) {
-        return open.respond(open.answer());
+    if (pending.read) {
+        return pending.respond(pending.read());
     }
-    const bool refused = answer.result.refusal != ChangeRefusal::None;
-    open.respond(jsonResponse(toApi(answer.result), refused ? HttpConflict : 200));
+    const bool refused = reply.result.refusal != ChangeRefusal::None;
+    pending.respond(jsonResponse(toApi(reply.result), refused ? HttpConflict : 200));
 }
 
-HttpResponse ControlDaemon::notLeader() const
+HttpResponse ControlDaemon::notLeaderResponse() const
 {
     Json body = {{"error", "not-leader"}, {"detail", "ask the leader"}};
     for (const ReplicaAddress &replica : m_file.replicas) {
@@ -118,8 +119,8 @@
     const ControlState &state = m_driver.core().state();
     Json body = Json::array();
     if (request.path == "/v1/bundle") {
-        const std::string wanted = queryValue(request.query, "version");
-        const std::uint64_t number = wanted.empty() ? state.latestVersion() : std::strtoull(wanted.c_str(), nullptr, 10);
+        const std::string requested = queryValue(request.query, "version");
+        const std::uint64_t number = requested.empty() ? state.latestVersion() : std::strtoull(requested.c_str(), nullptr, 10);
         const BundleVersion *version = state.find(number);
         return version != nullptr ? jsonResponse(toApi(*version, true)) : errorResponse(HttpNotFound, "no-such-version");
     }
