--- a/src/operator_client.cpp
+++ b/src/operator_client.cpp
@@ -21,15 +21,15 @@
 namespace {
 
 constexpr std::chrono::milliseconds CallTimeout{2500};
-constexpr std::chrono::milliseconds RetryPause{100};
+constexpr std::chrono::milliseconds RetryInterval{100};
 
-// Long enough for an election and the client's own time-outs.
-constexpr std::chrono::seconds GiveUpAfter{15};
+// Covers an election and several calls that time out.
+constexpr std::chrono::seconds ControlTimeout{15};
 
 constexpr unsigned HttpUnavailable = 503;
-constexpr unsigned HttpErrorFrom = 400;
+constexpr unsigned HttpFirstErrorStatus = 400;
 
-leaf::error_id fault(ClientError error, std::string text)
+leaf::error_id makeError(ClientError error, std::string text)
 {
     return leaf::new_error(error, ClientErrorMessage{std::move(text)});
 }
@@ -40,12 +40,12 @@
         [&]() -> leaf::result<std::string> {
             BOOST_LEAF_AUTO(bytes, readFile(path));
             if (!bytes) {
-                return fault(ClientError::BadInput, path.string() + ": no such file");
+                return makeError(ClientError::BadInput, path.string() + ": file not found");
             }
             return std::string(bytes->begin(), bytes->end());
         },
         [&](FileError) -> leaf::result<std::string> {
-            return fault(ClientError::BadInput, path.string() + ": can't be read");
+            return makeError(ClientError::BadInput, path.string() + ": cannot be read");
         });
 }
 
@@ -54,10 +54,10 @@
 leaf::result<ClientConfig> loadClientConfig(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(text, readText(path));
-    JsonError jsonFault;
-    const std::optional<Json> document = parseStrictJson(text, jsonFault);
+    JsonError jsonError;
+    const std::optional<Json> document = parseStrictJson(text, jsonError);
     if (!document) {
-        return fault(ClientError::BadConfig, path.string() + ": " + jsonFault.text());
+        return makeError(ClientError::BadConfig, path.string() + ": " + jsonError.text());
     }
     try {
         ClientConfig config;
@@ -72,14 +72,14 @@
         config.keyFile = document->value("keyFile", "");
         return config;
     } catch (const std::exception &error) {
-        return fault(ClientError::BadConfig, path.string() + ": " + error.what());
+        return makeError(ClientError::BadConfig, path.string() + ": " + error.what());
     }
 }
 
 leaf::result<PublicKey> writeKeyFile(const std::filesystem::path &path)
 {
     if (std::filesystem::exists(path)) {
-        return fault(ClientError::BadInput, path.string() + ": exists already");
+        return makeError(ClientError::BadInput, path.string() + ": file exists already");
     }
     const KeyPair pair = generateKeyPair();
     const std::string text = toHex(pair.secretKey) + "\n";
@@ -89,7 +89,7 @@
             return pair.publicKey;
         },
         [&](FileError) -> leaf::result<PublicKey> {
-            return fault(ClientError::BadInput, path.string() + ": can't be written");
+            return makeError(ClientError::BadInput, path.string() + ": cannot be written");
         });
 }
 
@@ -101,7 +101,7 @@
     }
     SecretKey key{};
     if (!fromHex(text, key)) {
-        return fault(ClientError::BadInput, path.string() + ": not a key file");
+        return makeError(ClientError::BadInput, path.string() + ": not a key file; expected 128 hexadecimal digits");
     }
     return key;
 }
@@ -133,40 +133,40 @@
     return callControl({"POST", "/v1/changes", {}, m_config.token, signedChange.dump()});
 }
 
-// "Not leader" and "outcome unknown" are both answered by asking again: a read has no effect, and a
-// change has its id.
+// Retries on "not leader" and "outcome unknown" alike, which is safe as a read has no effect and a change is
+// idempotent by its id.
 leaf::result<Json> OperatorClient::callControl(const HttpRequest &request)
 {
-    const auto giveUpAt = std::chrono::steady_clock::now() + GiveUpAfter;
-    std::string last = "no control replica answers";
-    while (std::chrono::steady_clock::now() < giveUpAt) {
+    const auto deadline = std::chrono::steady_clock::now() + ControlTimeout;
+    std::string lastError = "no control replica responded";
+    while (std::chrono::steady_clock::now() < deadline) {
         for (const Endpoint &endpoint : m_config.control) {
-            const std::optional<HttpResponse> reply = sendHttpRequest(endpoint, request, CallTimeout);
-            if (!reply || reply->status == HttpUnavailable) {
-                last = reply ? reply->body : last;
+            const std::optional<HttpResponse> response = sendHttpRequest(endpoint, request, CallTimeout);
+            if (!response || response->status == HttpUnavailable) {
+                lastError = response ? response->body : lastError;
                 continue;
             }
-            if (reply->status >= HttpErrorFrom) {
-                return fault(ClientError::Refused, reply->body);
+            if (response->status >= HttpFirstErrorStatus) {
+                return makeError(ClientError::Refused, response->body);
             }
-            return Json::parse(reply->body, nullptr, false);
+            return Json::parse(response->body, nullptr, false);
         }
-        std::this_thread::sleep_for(RetryPause);
+        std::this_thread::sleep_for(RetryInterval);
     }
-    return fault(ClientError::Unreachable, last);
+    return makeError(ClientError::Unreachable, lastError);
 }
 
 leaf::result<Json> OperatorClient::callBalancer(
     const BalancerAddress &balancer, const std::string &method, const std::string &path, const std::string &query, const std::string &body)
 {
-    const std::optional<HttpResponse> reply = sendHttpRequest(balancer.admin, {method, path, query, m_config.token, body}, CallTimeout);
-    if (!reply) {
-        return fault(ClientError::Unreachable, "balancer " + std::to_string(value(balancer.id)) + " does not answer");
+    const std::optional<HttpResponse> response = sendHttpRequest(balancer.admin, {method, path, query, m_config.token, body}, CallTimeout);
+    if (!response) {
+        return makeError(ClientError::Unreachable, "balancer " + std::to_string(value(balancer.id)) + " did not respond");
     }
-    if (reply->status >= HttpErrorFrom) {
-        return fault(ClientError::Refused, reply->body);
+    if (response->status >= HttpFirstErrorStatus) {
+        return makeError(ClientError::Refused, response->body);
     }
-    return Json::parse(reply->body, nullptr, false);
+    return Json::parse(response->body, nullptr, false);
 }
 
 leaf::result<SignedChange> OperatorClient::signWithConfiguredKey(Bytes content)
--- a/src/operator_client.h
+++ b/src/operator_client.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Operator client: finds the leader, signs changes and reads the state for the operator's command.
+// Operator client: signs and submits changes and reads state, on behalf of the `robinrail` command.
 #pragma once
 
 #include "control_command.h"
@@ -15,10 +15,10 @@
 namespace Robinrail {
 
 enum class ClientError {
-    BadConfig, // The client's own file is wrong.
-    BadInput, // An argument or a file named by one is wrong.
-    Unreachable, // No server could be reached in time.
-    Refused, // The server refused; the body says why.
+    BadConfig, // The client's configuration file is invalid.
+    BadInput, // An argument, or a file named by one, is invalid.
+    Unreachable, // No server responded in time.
+    Refused, // The server refused the request; the response body gives the reason.
 };
 
 struct ClientErrorMessage {
@@ -30,7 +30,7 @@
     Endpoint admin;
 };
 
-// The client's file: where the servers are, the token, and the operator's name and key file.
+// The client's configuration file: server addresses, admin token, and the operator's name and key file.
 struct ClientConfig {
     std::vector<Endpoint> control;
     std::vector<BalancerAddress> balancers;
@@ -41,7 +41,7 @@
 
 boost::leaf::result<ClientConfig> loadClientConfig(const std::filesystem::path &path);
 
-// Keys are kept as hex in a file that only its owner can read.
+// Key files hold the secret key as hex and are readable by their owner only. writeKeyFile() generates a key pair.
 boost::leaf::result<PublicKey> writeKeyFile(const std::filesystem::path &path);
 boost::leaf::result<SecretKey> readKeyFile(const std::filesystem::path &path);
 
@@ -52,16 +52,15 @@
 public:
     explicit OperatorClient(ClientConfig config);
 
-    // Reads from the leader, trying the replicas in turn until one answers.
+    // Reads from the leader, trying the replicas in turn.
     boost::leaf::result<nlohmann::json> readControl(const std::string &path, const std::string &query = {});
 
-    // Sends a signed change, again and again with the same id, until its outcome is known.
+    // Submits a signed change; retries with the same id until its outcome is known or the request times out.
     boost::leaf::result<nlohmann::json> submit(const nlohmann::json &signedChange);
 
     boost::leaf::result<nlohmann::json> callBalancer(
         const BalancerAddress &balancer, const std::string &method, const std::string &path, const std::string &query = {}, const std::string &body = {});
 
-    // Signs with the configured key.
     boost::leaf::result<SignedChange> signWithConfiguredKey(Bytes content);
 
     const ClientConfig &config() const;
--- a/src/operator_commands.cpp
+++ b/src/operator_commands.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Operator commands: one small function for each verb.
+// Operator commands: one function per subcommand.
 #include "operator_commands.h"
 
 #include "api_json.h"
@@ -22,27 +22,27 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds WatchPause{200};
+constexpr std::chrono::milliseconds WatchInterval{200};
 
 leaf::error_id badInput(std::string text)
 {
     return leaf::new_error(ClientError::BadInput, ClientErrorMessage{std::move(text)});
 }
 
-bool given(const CommandArguments &arguments, const std::string &name)
+bool hasArgument(const CommandArguments &arguments, const std::string &name)
 {
     const auto at = arguments.find(name);
     return at != arguments.end() && at->second && (!at->second.isBool() || at->second.asBool());
 }
 
-std::string textOf(const CommandArguments &arguments, const std::string &name, const std::string &otherwise = {})
+std::string stringArgument(const CommandArguments &arguments, const std::string &name, const std::string &fallback = {})
 {
-    return given(arguments, name) ? arguments.at(name).asString() : otherwise;
+    return hasArgument(arguments, name) ? arguments.at(name).asString() : fallback;
 }
 
-leaf::result<std::uint64_t> numberOf(const CommandArguments &arguments, const std::string &name)
+leaf::result<std::uint64_t> numberArgument(const CommandArguments &arguments, const std::string &name)
 {
-    const std::string text = textOf(arguments, name);
+    const std::string text = stringArgument(arguments, name);
     std::size_t used = 0;
     std::uint64_t number = 0;
     try {
@@ -56,11 +56,11 @@
     return number;
 }
 
-leaf::result<std::string> readInput(const std::string &path)
+leaf::result<std::string> readInputFile(const std::string &path)
 {
     std::ifstream file(path);
     if (!file) {
-        return badInput(path + ": can't be read");
+        return badInput(path + ": cannot be read");
     }
     std::ostringstream text;
     text << file.rdbuf();
@@ -69,14 +69,14 @@
 
 leaf::result<OperatorClient> makeClient(const CommandArguments &arguments)
 {
-    BOOST_LEAF_AUTO(config, loadClientConfig(textOf(arguments, "--config", "robinrail.json")));
+    BOOST_LEAF_AUTO(config, loadClientConfig(stringArgument(arguments, "--config", "robinrail.json")));
     return OperatorClient(std::move(config));
 }
 
-// Prints a value as JSON, or as one line of key=value pairs for each entry.
+// Prints a value as JSON if --json is given, otherwise one line of key=value pairs per entry.
 void print(const CommandArguments &arguments, const Json &json)
 {
-    if (given(arguments, "--json")) {
+    if (hasArgument(arguments, "--json")) {
         std::cout << json.dump(2) << '\n';
         return;
     }
@@ -94,38 +94,38 @@
 
 leaf::result<int> keygen(const CommandArguments &arguments)
 {
-    BOOST_LEAF_AUTO(key, writeKeyFile(textOf(arguments, "--out")));
+    BOOST_LEAF_AUTO(key, writeKeyFile(stringArgument(arguments, "--out")));
     print(arguments, {{"publicKey", toHex(key)}});
     return ExitOk;
 }
 
-leaf::result<std::string> checkedBundle(const std::string &path)
+leaf::result<std::string> readValidBundle(const std::string &path)
 {
-    BOOST_LEAF_AUTO(text, readInput(path));
-    JsonError fault;
-    if (!parseBundle(text, fault)) {
-        return badInput(path + ": " + fault.text());
+    BOOST_LEAF_AUTO(text, readInputFile(path));
+    JsonError error;
+    if (!parseBundle(text, error)) {
+        return badInput(path + ": " + error.text());
     }
     return text;
 }
 
 leaf::result<int> bundleCheck(const CommandArguments &arguments)
 {
-    BOOST_LEAF_CHECK(checkedBundle(textOf(arguments, "FILE")));
-    print(arguments, {{"bundle", textOf(arguments, "FILE")}, {"valid", true}});
+    BOOST_LEAF_CHECK(readValidBundle(stringArgument(arguments, "FILE")));
+    print(arguments, {{"bundle", stringArgument(arguments, "FILE")}, {"valid", true}});
     return ExitOk;
 }
 
 leaf::result<int> bundleSign(const CommandArguments &arguments)
 {
-    BOOST_LEAF_AUTO(text, checkedBundle(textOf(arguments, "FILE")));
-    BOOST_LEAF_AUTO(base, numberOf(arguments, "--base"));
+    BOOST_LEAF_AUTO(text, readValidBundle(stringArgument(arguments, "FILE")));
+    BOOST_LEAF_AUTO(base, numberArgument(arguments, "--base"));
     BOOST_LEAF_AUTO(client, makeClient(arguments));
     BOOST_LEAF_AUTO(change, client.signWithConfiguredKey(encodeMessage(ControlChange(ProposeBundle{base, text}))));
-    std::ofstream out(textOf(arguments, "--out"));
+    std::ofstream out(stringArgument(arguments, "--out"));
     out << toApi(change).dump() << '\n';
     if (!out) {
-        return badInput(textOf(arguments, "--out") + ": can't be written");
+        return badInput(stringArgument(arguments, "--out") + ": cannot be written");
     }
     print(arguments, {{"change", changeIdJson(change.change)}, {"baseVersion", base}});
     return ExitOk;
@@ -133,14 +133,14 @@
 
 leaf::result<int> bundlePropose(const CommandArguments &arguments)
 {
-    BOOST_LEAF_AUTO(text, readInput(textOf(arguments, "SIGNED")));
+    BOOST_LEAF_AUTO(text, readInputFile(stringArgument(arguments, "SIGNED")));
     const Json change = Json::parse(text, nullptr, false);
     if (!signedChangeFromApi(text)) {
-        return badInput(textOf(arguments, "SIGNED") + ": not a signed change");
+        return badInput(stringArgument(arguments, "SIGNED") + ": not a signed change");
     }
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(answer, client.submit(change));
-    print(arguments, answer);
+    BOOST_LEAF_AUTO(response, client.submit(change));
+    print(arguments, response);
     return ExitOk;
 }
 
@@ -148,15 +148,15 @@
 {
     BOOST_LEAF_AUTO(client, makeClient(arguments));
     BOOST_LEAF_AUTO(change, client.signWithConfiguredKey(encodeMessage(content)));
-    BOOST_LEAF_AUTO(answer, client.submit(toApi(change)));
-    print(arguments, answer);
+    BOOST_LEAF_AUTO(response, client.submit(toApi(change)));
+    print(arguments, response);
     return ExitOk;
 }
 
 leaf::result<int> bundleApprove(const CommandArguments &arguments)
 {
     ApproveBundle approve;
-    if (!fromHex(textOf(arguments, "CHANGE"), approve.proposal)) {
+    if (!fromHex(stringArgument(arguments, "CHANGE"), approve.proposal)) {
         return badInput("CHANGE: expected 32 hexadecimal digits");
     }
     return submitChange(arguments, approve);
@@ -165,25 +165,25 @@
 leaf::result<int> read(const CommandArguments &arguments, const std::string &path, const std::string &query = {})
 {
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(answer, client.readControl(path, query));
-    print(arguments, answer);
+    BOOST_LEAF_AUTO(response, client.readControl(path, query));
+    print(arguments, response);
     return ExitOk;
 }
 
 leaf::result<int> bundleShow(const CommandArguments &arguments)
 {
-    const std::string version = textOf(arguments, "--at");
+    const std::string version = stringArgument(arguments, "--at");
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(answer, client.readControl("/v1/bundle", version.empty() ? "" : "version=" + version));
-    std::cout << (given(arguments, "--json") ? answer : answer["bundle"]).dump(2) << '\n';
+    BOOST_LEAF_AUTO(response, client.readControl("/v1/bundle", version.empty() ? "" : "version=" + version));
+    std::cout << (hasArgument(arguments, "--json") ? response : response["bundle"]).dump(2) << '\n';
     return ExitOk;
 }
 
 leaf::result<int> bundleDiff(const CommandArguments &arguments)
 {
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(from, client.readControl("/v1/bundle", "version=" + textOf(arguments, "FROM")));
-    BOOST_LEAF_AUTO(to, client.readControl("/v1/bundle", "version=" + textOf(arguments, "TO")));
+    BOOST_LEAF_AUTO(from, client.readControl("/v1/bundle", "version=" + stringArgument(arguments, "FROM")));
+    BOOST_LEAF_AUTO(to, client.readControl("/v1/bundle", "version=" + stringArgument(arguments, "TO")));
     print(arguments, Json::diff(from["bundle"], to["bundle"]));
     return ExitOk;
 }
@@ -192,7 +192,7 @@
 
 leaf::result<int> rolloutWatch(const CommandArguments &arguments)
 {
-    BOOST_LEAF_AUTO(seconds, numberOf(arguments, "--timeout"));
+    BOOST_LEAF_AUTO(seconds, numberArgument(arguments, "--timeout"));
     BOOST_LEAF_AUTO(client, makeClient(arguments));
     const auto started = std::chrono::steady_clock::now();
     for (;;) {
@@ -204,25 +204,25 @@
             print(arguments, progress);
             return done ? ExitOk : ExitFailed;
         }
-        std::this_thread::sleep_for(WatchPause / 4);
+        std::this_thread::sleep_for(WatchInterval / 4);
     }
 }
 
-leaf::result<int> rolloutSteer(const CommandArguments &arguments, RolloutAction action)
+leaf::result<int> rolloutUpdate(const CommandArguments &arguments, RolloutAction action)
 {
-    BOOST_LEAF_AUTO(version, numberOf(arguments, "VERSION"));
+    BOOST_LEAF_AUTO(version, numberArgument(arguments, "VERSION"));
     return submitChange(arguments, UpdateRollout{version, action});
 }
 
 leaf::result<int> operatorSet(const CommandArguments &arguments)
 {
     SetOperator set;
-    set.name = textOf(arguments, "NAME");
-    set.revoked = given(arguments, "--revoked");
-    if (!fromHex(textOf(arguments, "KEY"), set.key)) {
+    set.name = stringArgument(arguments, "NAME");
+    set.revoked = hasArgument(arguments, "--revoked");
+    if (!fromHex(stringArgument(arguments, "KEY"), set.key)) {
         return badInput("KEY: expected 64 hexadecimal digits");
     }
-    const std::string role = textOf(arguments, "ROLE");
+    const std::string role = stringArgument(arguments, "ROLE");
     if (role != "author" && role != "administrator") {
         return badInput("ROLE: found \"" + role + "\", expected author or administrator");
     }
@@ -232,8 +232,8 @@
 
 // ---- Status ----
 
-// Asks every balancer; one that does not answer gets a row that says so.
-leaf::result<Json> askBalancers(OperatorClient &client, const std::string &path, const std::string &query = {})
+// Queries every balancer. The row of one that fails holds the error.
+leaf::result<Json> queryBalancers(OperatorClient &client, const std::string &path, const std::string &query = {})
 {
     Json rows = Json::array();
     for (const BalancerAddress &balancer : client.config().balancers) {
@@ -241,8 +241,8 @@
             [&] {
                 return client.callBalancer(balancer, "GET", path, query);
             },
-            [](const ClientErrorMessage &fault) {
-                return Json({{"error", fault.text}});
+            [](const ClientErrorMessage &error) {
+                return Json({{"error", error.text}});
             },
             [] {
                 return Json({{"error", "failed"}});
@@ -257,12 +257,12 @@
     BOOST_LEAF_AUTO(client, makeClient(arguments));
     Json rows = Json::array();
     for (const Endpoint &endpoint : client.config().control) {
-        const std::optional<HttpResponse> reply = sendHttpRequest(endpoint, {"GET", "/v1/status", {}, client.config().token, {}}, std::chrono::seconds(1));
-        Json row = reply ? Json::parse(reply->body, nullptr, false) : Json({{"error", "does not answer"}});
+        const std::optional<HttpResponse> response = sendHttpRequest(endpoint, {"GET", "/v1/status", {}, client.config().token, {}}, std::chrono::seconds(1));
+        Json row = response ? Json::parse(response->body, nullptr, false) : Json({{"error", "did not respond"}});
         row.erase("balancers");
         rows.push_back(std::move(row));
     }
-    BOOST_LEAF_AUTO(balancers, askBalancers(client, "/v1/status"));
+    BOOST_LEAF_AUTO(balancers, queryBalancers(client, "/v1/status"));
     for (Json &row : balancers) {
         rows.push_back(std::move(row["answer"]));
     }
@@ -270,14 +270,14 @@
     return ExitOk;
 }
 
-// One row a target: shares and running attempts are summed over the balancers.
+// Prints one row per target, with shares, running attempts and feeds summed over the balancers.
 leaf::result<int> targets(const CommandArguments &arguments)
 {
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(answers, askBalancers(client, "/v1/targets"));
+    BOOST_LEAF_AUTO(responses, queryBalancers(client, "/v1/targets"));
     std::map<std::uint64_t, Json> rows;
-    for (const Json &answer : answers) {
-        for (const Json &target : answer["answer"]) {
+    for (const Json &response : responses) {
+        for (const Json &target : response["answer"]) {
             if (!target.contains("target")) {
                 continue;
             }
@@ -303,25 +303,25 @@
 leaf::result<int> flowsExplain(const CommandArguments &arguments)
 {
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(answers, askBalancers(client, "/v1/flows/" + textOf(arguments, "ID")));
-    print(arguments, answers);
+    BOOST_LEAF_AUTO(responses, queryBalancers(client, "/v1/flows/" + stringArgument(arguments, "ID")));
+    print(arguments, responses);
     return ExitOk;
 }
 
 leaf::result<int> auditTail(const CommandArguments &arguments)
 {
-    return read(arguments, "/v1/audit", "after=" + textOf(arguments, "--after", "0"));
+    return read(arguments, "/v1/audit", "after=" + stringArgument(arguments, "--after", "0"));
 }
 
 leaf::result<int> auditVerify(const CommandArguments &arguments)
 {
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(answer, client.readControl("/v1/audit"));
+    BOOST_LEAF_AUTO(response, client.readControl("/v1/audit"));
     std::vector<AuditRecord> records;
-    for (const Json &row : answer) {
+    for (const Json &row : response) {
         const std::optional<AuditRecord> record = auditRecordFromApi(row);
         if (!record) {
-            return badInput("the server sent a malformed record");
+            return badInput("the server sent a malformed audit record");
         }
         records.push_back(*record);
     }
@@ -335,9 +335,9 @@
 leaf::result<int> drain(const CommandArguments &arguments)
 {
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(id, numberOf(arguments, "ID"));
-    const bool vm = given(arguments, "vm");
-    bool ordered = false;
+    BOOST_LEAF_AUTO(id, numberArgument(arguments, "ID"));
+    const bool vm = hasArgument(arguments, "vm");
+    bool sent = false;
     for (const BalancerAddress &balancer : client.config().balancers) {
         if (vm && value(balancer.id) != id) {
             continue;
@@ -346,18 +346,18 @@
         const BalancerKey key{balancer.id, Incarnation{balancerStatus["incarnation"].get<std::uint64_t>()}};
         const DrainOrder order{key, TargetId{vm ? 0 : static_cast<std::uint32_t>(id)}};
         BOOST_LEAF_AUTO(change, client.signWithConfiguredKey(encodeMessage(std::variant<DrainOrder>(order))));
-        BOOST_LEAF_AUTO(answer, client.callBalancer(balancer, "POST", "/v1/drain", {}, toApi(change).dump()));
-        print(arguments, answer);
-        ordered = true;
-        break; // Gossip tells the others about a target.
+        BOOST_LEAF_AUTO(response, client.callBalancer(balancer, "POST", "/v1/drain", {}, toApi(change).dump()));
+        print(arguments, response);
+        sent = true;
+        break; // Gossip distributes the drain of a target to the other balancers.
     }
-    return ordered ? leaf::result<int>(ExitOk) : badInput("ID: no such balancer in the configuration");
+    return sent ? leaf::result<int>(ExitOk) : badInput("ID: no such balancer in the configuration");
 }
 
 leaf::result<int> watch(const CommandArguments &arguments)
 {
     BOOST_LEAF_AUTO(client, makeClient(arguments));
-    BOOST_LEAF_AUTO(seconds, numberOf(arguments, "--timeout"));
+    BOOST_LEAF_AUTO(seconds, numberArgument(arguments, "--timeout"));
     std::map<std::uint64_t, std::uint64_t> seen;
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(seconds);
     while (std::chrono::steady_clock::now() < end) {
@@ -376,71 +376,71 @@
                 print(arguments, event);
             }
         }
-        std::this_thread::sleep_for(WatchPause);
+        std::this_thread::sleep_for(WatchInterval);
     }
     return ExitOk;
 }
 
-// ---- Stand-ins ----
+// ---- Simulated targets, callers and fabric for tests ----
 
 leaf::result<int> standin(const CommandArguments &arguments)
 {
-    BOOST_LEAF_AUTO(text, readInput(textOf(arguments, "OPTIONS")));
+    BOOST_LEAF_AUTO(text, readInputFile(stringArgument(arguments, "OPTIONS")));
     const Json json = Json::parse(text, nullptr, false);
     if (!json.is_object()) {
-        return badInput(textOf(arguments, "OPTIONS") + ": not a JSON object");
+        return badInput(stringArgument(arguments, "OPTIONS") + ": not a JSON object");
     }
     try {
-        if (given(arguments, "target")) {
+        if (hasArgument(arguments, "target")) {
             return runStandinTarget(json.get<StandinTargetOptions>());
         }
-        if (given(arguments, "caller")) {
+        if (hasArgument(arguments, "caller")) {
             return runStandinCaller(json.get<StandinCallerOptions>());
         }
-        if (given(arguments, "verify")) {
+        if (hasArgument(arguments, "verify")) {
             return verifyReports(json.get<StandinVerifyOptions>());
         }
         return runStandinFabric(json.get<StandinFabricOptions>());
     } catch (const std::exception &error) {
-        return badInput(textOf(arguments, "OPTIONS") + ": " + error.what());
+        return badInput(stringArgument(arguments, "OPTIONS") + ": " + error.what());
     }
 }
 
 leaf::result<int> dispatch(const CommandArguments &arguments)
 {
-    if (given(arguments, "standin")) {
+    if (hasArgument(arguments, "standin")) {
         return standin(arguments);
     }
-    if (given(arguments, "keygen")) {
+    if (hasArgument(arguments, "keygen")) {
         return keygen(arguments);
     }
-    if (given(arguments, "bundle")) {
-        return given(arguments, "check")  ? bundleCheck(arguments)
-            : given(arguments, "sign")    ? bundleSign(arguments)
-            : given(arguments, "propose") ? bundlePropose(arguments)
-            : given(arguments, "approve") ? bundleApprove(arguments)
-            : given(arguments, "show")    ? bundleShow(arguments)
-            : given(arguments, "diff")    ? bundleDiff(arguments)
-            : given(arguments, "pending") ? read(arguments, "/v1/proposals")
-                                          : read(arguments, "/v1/history");
+    if (hasArgument(arguments, "bundle")) {
+        return hasArgument(arguments, "check")  ? bundleCheck(arguments)
+            : hasArgument(arguments, "sign")    ? bundleSign(arguments)
+            : hasArgument(arguments, "propose") ? bundlePropose(arguments)
+            : hasArgument(arguments, "approve") ? bundleApprove(arguments)
+            : hasArgument(arguments, "show")    ? bundleShow(arguments)
+            : hasArgument(arguments, "diff")    ? bundleDiff(arguments)
+            : hasArgument(arguments, "pending") ? read(arguments, "/v1/proposals")
+                                                : read(arguments, "/v1/history");
     }
-    if (given(arguments, "rollout")) {
-        return given(arguments, "watch") ? rolloutWatch(arguments)
-                                         : rolloutSteer(arguments, given(arguments, "stop") ? RolloutAction::Stop : RolloutAction::Continue);
+    if (hasArgument(arguments, "rollout")) {
+        return hasArgument(arguments, "watch") ? rolloutWatch(arguments)
+                                               : rolloutUpdate(arguments, hasArgument(arguments, "stop") ? RolloutAction::Stop : RolloutAction::Continue);
     }
-    if (given(arguments, "operator")) {
-        return given(arguments, "set") ? operatorSet(arguments) : read(arguments, "/v1/operators");
+    if (hasArgument(arguments, "operator")) {
+        return hasArgument(arguments, "set") ? operatorSet(arguments) : read(arguments, "/v1/operators");
     }
-    if (given(arguments, "audit")) {
-        return given(arguments, "verify") ? auditVerify(arguments) : auditTail(arguments);
+    if (hasArgument(arguments, "audit")) {
+        return hasArgument(arguments, "verify") ? auditVerify(arguments) : auditTail(arguments);
     }
-    if (given(arguments, "drain")) {
+    if (hasArgument(arguments, "drain")) {
         return drain(arguments);
     }
-    return given(arguments, "status") ? status(arguments)
-        : given(arguments, "targets") ? targets(arguments)
-        : given(arguments, "flows")   ? flowsExplain(arguments)
-                                      : watch(arguments);
+    return hasArgument(arguments, "status") ? status(arguments)
+        : hasArgument(arguments, "targets") ? targets(arguments)
+        : hasArgument(arguments, "flows")   ? flowsExplain(arguments)
+                                            : watch(arguments);
 }
 
 } // namespace
@@ -451,8 +451,8 @@
         [&] {
             return dispatch(arguments);
         },
-        [](ClientError error, const ClientErrorMessage &fault) {
-            std::cerr << fault.text << (fault.text.ends_with('\n') ? "" : "\n");
+        [](ClientError error, const ClientErrorMessage &message) {
+            std::cerr << message.text << (message.text.ends_with('\n') ? "" : "\n");
             switch (error) {
             case ClientError::Unreachable:
                 return ExitUnreachable;
--- a/src/operator_commands.h
+++ b/src/operator_commands.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Operator commands: what each verb of the `robinrail` command does.
+// Operator commands: the subcommands of the `robinrail` command.
 #pragma once
 
 #include <docopt/docopt_value.h>
@@ -13,12 +13,12 @@
 
 // Exit codes of the command; docs/API.md lists them.
 inline constexpr int ExitOk = 0;
-inline constexpr int ExitFailed = 1; // A check or verification found something wrong.
+inline constexpr int ExitFailed = 1; // A check failed, or a watch timed out.
 inline constexpr int ExitBadInput = 2;
 inline constexpr int ExitUnreachable = 3;
 inline constexpr int ExitRefused = 4;
 
-// Runs the verb that the arguments name and prints its result or error.
+// Runs the subcommand selected by the arguments, prints its result or error, and returns the exit code.
 int runCommand(const CommandArguments &arguments);
 
 } // namespace Robinrail
