--- a/tests/test_control.cpp
+++ b/tests/test_control.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control: consensus and state machine under schedules of failures, and focused cases.
+// Control: consensus and the control state machine under random failure schedules, and single scenarios.
 #include "control_cluster.h"
 
 #include <doctest/doctest.h>
@@ -24,7 +24,7 @@
     Heal,
     Propose,
     ProposeStale,
-    ProposeTwice, // Two operators race with equal numbers.
+    ProposeTwice, // Two operators propose concurrently on the same base version.
     Resend,
 };
 
@@ -50,11 +50,11 @@
         rc::gen::inRange(1U, (1U << static_cast<unsigned>(replicas)) - 1));
 }
 
-// Plays a schedule, then heals all and checks that nothing acknowledged is lost.
-class Player
+// Runs a schedule of failures, then repairs everything and checks that no acknowledged change is lost.
+class ScheduleRunner
 {
 public:
-    explicit Player(const ClusterOptions &options)
+    explicit ScheduleRunner(const ClusterOptions &options)
         : m_replicas(options.replicas)
         , m_cluster(options)
     {
@@ -63,7 +63,7 @@
         });
     }
 
-    void play(const Action &action)
+    void execute(const Action &action)
     {
         switch (action.step) {
         case Step::Wait:
@@ -102,6 +102,7 @@
         }
     }
 
+    // Repairs all faults and checks the outcome.
     void finish()
     {
         m_cluster.heal();
@@ -148,7 +149,7 @@
     int m_wipes = 0;
 };
 
-void playAny(int replicas, double loss, ClusterOptions options = {})
+void runRandomSchedule(int replicas, double loss, ClusterOptions options = {})
 {
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     const auto actions = *rc::gen::container<std::vector<Action>>(anyAction(replicas));
@@ -157,15 +158,15 @@
     options.drop = loss;
     options.duplicate = loss;
     options.clockSkew = 0.1;
-    Player player(options);
+    ScheduleRunner runner(options);
     for (const Action &action : actions) {
-        player.play(action);
+        runner.execute(action);
     }
-    player.finish();
+    runner.finish();
 }
 
-// A cluster that keeps its voters itself and bears the loss of so many disks.
-ClusterOptions selfKept(std::size_t losses)
+// Options of a cluster that chooses its voters automatically and tolerates the loss of `losses` disks.
+ClusterOptions automaticVoters(std::size_t losses)
 {
     ClusterOptions options;
     options.seeds = 3;
@@ -180,55 +181,56 @@
 TEST_CASE("3 replicas preserve all invariants under any schedule")
 {
     CHECK(rc::check("three replicas", [] {
-        playAny(3, 0);
+        runRandomSchedule(3, 0);
     }));
 }
 
 TEST_CASE("3 replicas preserve all invariants with loss and duplication")
 {
     CHECK(rc::check("three replicas, lossy", [] {
-        playAny(3, 0.05);
+        runRandomSchedule(3, 0.05);
     }));
 }
 
 TEST_CASE("5 replicas preserve all invariants under any schedule")
 {
     CHECK(rc::check("five replicas", [] {
-        playAny(5, 0.02);
+        runRandomSchedule(5, 0.02);
     }));
 }
 
 TEST_CASE("4 replicas that choose their 3 voters preserve all invariants under any schedule")
 {
     CHECK(rc::check("four replicas, one of them a spare", [] {
-        playAny(4, 0.02, selfKept(1));
+        runRandomSchedule(4, 0.02, automaticVoters(1));
     }));
 }
 
 TEST_CASE("6 replicas that choose their 5 voters preserve all invariants under any schedule")
 {
     CHECK(rc::check("six replicas, one of them a spare", [] {
-        playAny(6, 0.02, selfKept(2));
+        runRandomSchedule(6, 0.02, automaticVoters(2));
     }));
 }
 
 TEST_CASE("5 replicas that dial those that they know preserve all invariants under any schedule")
 {
     CHECK(rc::check("five replicas, three of them seeds, with links", [] {
-        ClusterOptions options = selfKept(2);
+        ClusterOptions options = automaticVoters(2);
         options.linkTime = milliseconds(60);
-        playAny(5, 0.02, options);
+        runRandomSchedule(5, 0.02, options);
     }));
 }
 
-// The bound is the time after which the smallest deployments lose a second disk. A replica with an empty disk knows the
-// seeds alone, and the one that leads need not be among them; its first append is lost where it is sent before its link is up.
-TEST_CASE("a replica that lost its disk votes again within 4 s, whoever leads")
+// Guards against a replaced replica that stays without a vote until a second disk is lost. 4 s is the time between two
+// disk losses in the smallest deployments. A replica with an empty disk knows only the seeds, while the leader may be
+// another replica, whose first append is lost if it is sent before its link to the new replica is up.
+TEST_CASE("a replica that lost its disk votes again within 4 s, whether or not a seed leads")
 {
     constexpr int Replicas = 5;
-    int ledByOthers = 0;
+    int ledByNonSeed = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-        ClusterOptions options = selfKept(2);
+        ClusterOptions options = automaticVoters(2);
         options.replicas = Replicas;
         options.seed = seed;
         options.linkTime = milliseconds(20) + milliseconds(seed * 2);
@@ -241,16 +243,16 @@
             REQUIRE(cluster.wipe(lost));
             CHECK(cluster.runUntil(settled, seconds(4)));
             REQUIRE(cluster.runUntil(settled, seconds(60)));
-            ledByOthers += cluster.leader() > options.seeds ? 1 : 0;
+            ledByNonSeed += cluster.leader() > options.seeds ? 1 : 0;
         }
         CHECK(cluster.violation().empty());
     }
-    CHECK(ledByOthers > 0);
+    CHECK(ledByNonSeed > 0);
 }
 
-TEST_CASE("seeds begin one cluster, and a spare takes the vote of a voter that is lost until that returns")
+TEST_CASE("seeds form one cluster, and a spare replaces a voter that crashed")
 {
-    ClusterOptions options = selfKept(1);
+    ClusterOptions options = automaticVoters(1);
     options.replicas = 4;
     ControlCluster cluster(options);
     REQUIRE(cluster.runUntil([&] {
@@ -271,9 +273,9 @@
     CHECK(cluster.violation() == "");
 }
 
-TEST_CASE("a change waits for the copies that the borne losses ask for")
+TEST_CASE("a change is acknowledged only after the number of copies that the tolerated losses require")
 {
-    ClusterOptions options = selfKept(2);
+    ClusterOptions options = automaticVoters(2);
     options.replicas = 3;
     ControlCluster cluster(options);
     REQUIRE(cluster.runUntil([&] {
@@ -292,7 +294,7 @@
     }));
 }
 
-TEST_CASE("replicas join by themselves and a change is committed")
+TEST_CASE("replicas join automatically and commit a change")
 {
     ControlCluster cluster({});
     REQUIRE(cluster.runUntil([&] {
@@ -305,8 +307,8 @@
     CHECK(cluster.answersTo(change.change).front().version == 1);
 }
 
-// Steps that a cluster takes from its start until all are members, of which five vote.
-std::uint64_t stepsUntilSettled(int replicas)
+// Number of log entries from the start of a cluster until all replicas are members, five of them voters.
+std::uint64_t logEntriesUntilSettled(int replicas)
 {
     ClusterOptions options;
     options.replicas = replicas;
@@ -322,14 +324,14 @@
     return value(cluster.core(cluster.leader()).raft().lastIndex());
 }
 
-TEST_CASE("a fleet of replicas that starts is taken in by a few steps, not by one for each")
+TEST_CASE("replicas that start together are added by a few membership changes, not by one each")
 {
-    const std::uint64_t few = stepsUntilSettled(6);
-    const std::uint64_t many = stepsUntilSettled(25);
-    CHECK(many <= few + 4); // Nineteen more replicas.
+    const std::uint64_t few = logEntriesUntilSettled(6);
+    const std::uint64_t many = logEntriesUntilSettled(25);
+    CHECK(many <= few + 4); // For 19 more replicas.
 }
 
-TEST_CASE("of two changes with equal numbers one wins and the other is told the winner")
+TEST_CASE("of two changes with equal numbers one is accepted and the other is refused with the id of the accepted one")
 {
     ControlCluster cluster({});
     cluster.runUntil([&] {
@@ -348,30 +350,30 @@
     CHECK(cluster.core(1).state().latestVersion() == 1);
 }
 
-TEST_CASE("a frozen leader that returns can commit nothing")
+TEST_CASE("a frozen leader that resumes after a new election commits nothing")
 {
     ControlCluster cluster({});
     cluster.runUntil([&] {
         return cluster.settled();
     });
-    const int old = cluster.leader();
-    cluster.freeze(old);
+    const int formerLeader = cluster.leader();
+    cluster.freeze(formerLeader);
     REQUIRE(cluster.runUntil([&] {
-        return cluster.leader() != 0 && cluster.leader() != old;
+        return cluster.leader() != 0 && cluster.leader() != formerLeader;
     }));
     const SignedChange change = cluster.makeProposal(0, "first");
     cluster.submit(cluster.leader(), change);
     cluster.run(seconds(1));
-    cluster.thaw(old);
+    cluster.thaw(formerLeader);
     const SignedChange stale = cluster.makeProposal(0, "second");
-    cluster.submit(old, stale);
+    cluster.submit(formerLeader, stale);
     cluster.run(seconds(2));
     CHECK(cluster.violation().empty());
-    CHECK(cluster.core(old).state().latestVersion() == 1);
-    CHECK(cluster.core(old).state().history().front().change == change.change);
+    CHECK(cluster.core(formerLeader).state().latestVersion() == 1);
+    CHECK(cluster.core(formerLeader).state().history().front().change == change.change);
 }
 
-TEST_CASE("a repaired replica and then the loss of a second one lose nothing")
+TEST_CASE("a repaired replica and then the loss of a second one lose no committed change")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         ClusterOptions options;
@@ -397,7 +399,7 @@
     }
 }
 
-TEST_CASE("a replica that missed thousands of changes catches up by snapshot")
+TEST_CASE("a replica that missed thousands of changes catches up from a snapshot")
 {
     ControlCluster cluster({});
     cluster.runUntil([&] {
@@ -424,15 +426,15 @@
     CHECK(cluster.violation().empty());
 }
 
-TEST_CASE("a read is answered only by a leader that still leads")
+TEST_CASE("a partitioned leader does not answer reads")
 {
     ControlCluster cluster({});
     cluster.runUntil([&] {
         return cluster.settled();
     });
-    const int old = cluster.leader();
-    cluster.partition(1U << static_cast<unsigned>(old - 1));
-    ControlCore &core = cluster.core(old);
+    const int formerLeader = cluster.leader();
+    cluster.partition(1U << static_cast<unsigned>(formerLeader - 1));
+    ControlCore &core = cluster.core(formerLeader);
     core.read(TimePoint{std::chrono::hours(1)}, 4711);
     CHECK(core.takeOutput().reads.empty());
 }
