--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -346,7 +346,7 @@
         return microsecondsOf(
             [&] {
                 RolloutAgent copy = agent;
-                copy.take(offer);
+                copy.applyOffer(offer);
             },
             2);
     });
