--- a/src/balancer_api.cpp
+++ b/src/balancer_api.cpp
@@ -146,8 +146,8 @@
     return jsonResponse(list);
 }
 
-// `id` is either the number of a flow, looked up on this balancer, or a sealed connection id in hex, which is decrypted
-// to find the owner and the flow.
+// `id` is either the number of a flow, looked up on this balancer, or a sealed connection id in hex, whose
+// MAC is verified before the owner and the flow are taken from it.
 HttpResponse BalancerDaemon::explainFlow(std::string_view id)
 {
     BalancerContext &context = m_core.context();
--- a/src/bundle.h
+++ b/src/bundle.h
@@ -13,7 +13,7 @@
 
 namespace Robinrail {
 
-// The first error in a JSON document: its JSON Pointer (RFC 6901), the value found, and what was expected.
+// An error in a JSON document: its JSON Pointer (RFC 6901), the value found, and what was expected.
 struct JsonError {
     std::string pointer;
     std::string found;
