--- a/src/control_command.cpp
+++ b/src/control_command.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control commands: signing and names.
+// Control commands: signing, and names of actions and refusals.
 #include "control_command.h"
 
 #include <algorithm>
@@ -9,18 +9,18 @@
 
 namespace {
 
-// Keeps a signature for one purpose from being used for another.
-constexpr std::string_view Domain = "robinrail-change-v1";
+// Domain separator: a signature made for another purpose does not verify as one of a change.
+constexpr std::string_view SignatureDomain = "robinrail-change-v1";
 
 } // namespace
 
-Bytes signedBytes(const SignedChange &change)
+Bytes bytesToSign(const SignedChange &change)
 {
     Bytes bytes;
     const auto append = [&bytes](const auto &part) {
         std::copy(part.begin(), part.end(), std::back_inserter(bytes));
     };
-    append(Domain);
+    append(SignatureDomain);
     append(change.change);
     bytes.push_back(static_cast<std::uint8_t>(change.operatorName.size()));
     append(change.operatorName);
@@ -34,7 +34,7 @@
     change.change = id;
     change.operatorName = std::move(operatorName);
     change.content = std::move(content);
-    change.signature = sign(signedBytes(change), key);
+    change.signature = sign(bytesToSign(change), key);
     return change;
 }
 
@@ -74,7 +74,7 @@
     return "unknown";
 }
 
-std::string_view kindOf(const ControlChange &change)
+std::string_view actionName(const ControlChange &change)
 {
     static constexpr std::string_view Names[] = {"propose-bundle", "approve-bundle", "steer-rollout", "set-operator"};
     return Names[change.index()];
--- a/src/rollout.cpp
+++ b/src/rollout.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Rollout: offers, application and tracking.
+// Rollout: making and applying offers, and tracking of subscribers.
 #include "rollout.h"
 
 #include <algorithm>
@@ -41,7 +41,7 @@
 
 bool RolloutAgent::restore(std::uint64_t version, std::string_view text)
 {
-    JsonFault fault;
+    JsonError fault;
     const std::optional<Bundle> bundle = parseBundle(text, fault);
     if (!bundle) {
         return false;
@@ -52,44 +52,44 @@
     return true;
 }
 
-OfferEffect RolloutAgent::take(const BundleOffer &offer)
+OfferResult RolloutAgent::applyOffer(const BundleOffer &offer)
 {
     if (offer.version <= m_version) {
         m_operators = offer.version == m_version ? offer.operators : m_operators;
-        return OfferEffect::NotNewer;
+        return OfferResult::NotNewer;
     }
     if (offer.baseVersion != 0 && offer.baseVersion != m_version) {
-        return OfferEffect::BaseMissing;
+        return OfferResult::BaseMismatch;
     }
     Json document = Json::parse(offer.document, nullptr, false);
     if (document.is_discarded()) {
-        return OfferEffect::Damaged;
+        return OfferResult::Damaged;
     }
     if (offer.baseVersion != 0) {
         try {
             document = m_document.patch(document);
         } catch (const Json::exception &) {
-            return OfferEffect::Damaged;
+            return OfferResult::Damaged;
         }
     }
-    JsonFault fault;
+    JsonError fault;
     const std::optional<Bundle> bundle = parseBundle(document.dump(), fault);
     if (!bundle || digestOf(document) != offer.digest) {
-        return OfferEffect::Damaged;
+        return OfferResult::Damaged;
     }
     m_version = offer.version;
     m_document = std::move(document);
     m_bundle = *bundle;
     m_operators = offer.operators;
-    return OfferEffect::Applied;
+    return OfferResult::Applied;
 }
 
-void RolloutAgent::noteBeat(TimePoint now, const ControlHeartbeat &beat)
+void RolloutAgent::handleHeartbeat(TimePoint now, const ControlHeartbeat &heartbeat)
 {
-    if (beat.inContact) {
-        m_lastContact = now;
-        m_everContact = true;
-        m_newestNamed = std::max(m_newestNamed, beat.version);
+    if (heartbeat.inContact) {
+        m_lastQuorumContact = now;
+        m_hadQuorumContact = true;
+        m_newestAnnounced = std::max(m_newestAnnounced, heartbeat.version);
     }
 }
 
@@ -115,7 +115,7 @@
 
 bool RolloutAgent::confirmed(TimePoint now) const
 {
-    return m_everContact && now - m_lastContact < ConfirmationTime && m_newestNamed <= m_version && m_version > 0;
+    return m_hadQuorumContact && now - m_lastQuorumContact < ConfirmationTimeout && m_newestAnnounced <= m_version && m_version > 0;
 }
 
 void RolloutTracker::subscribe(TimePoint now, const Subscribe &subscribe)
@@ -154,8 +154,8 @@
     Progress progress;
     for (const auto &[id, subscriber] : m_subscribers) {
         const std::vector<BalancerId> &first = version.firstBalancers;
-        const bool mayHave = version.stage == RolloutStage::All || std::find(first.begin(), first.end(), id) != first.end();
-        if (subscriber.connected && mayHave) {
+        const bool included = version.stage == RolloutStage::All || std::find(first.begin(), first.end(), id) != first.end();
+        if (subscriber.connected && included) {
             ++progress.expected;
             progress.inForce += subscriber.version >= version.version ? 1 : 0;
         }
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -65,14 +65,14 @@
 mutate "answers complete with any part" src/answer_assembly.h 'return m_received == m_count ?' 'return m_received > 0 ?' \
     '*with all its parts*,*complete only with all parts*'
 mutate "a vote for everybody" src/raft_election.cpp \
-    'const bool free = value(m_hard.votedFor.id) == 0 || m_hard.votedFor == from;' 'const bool free = true;' '*replicas keep every promise*'
+    'const bool free = value(m_hard.votedFor.id) == 0 || m_hard.votedFor == from;' 'const bool free = true;' '*replicas preserve all invariants*'
 mutate "votes for short logs" src/raft_election.cpp \
     'const bool upToDate = std::pair(request.lastTerm, request.lastIndex) >= std::pair(lastTerm(), lastIndex());' \
-    'const bool upToDate = true;' '*replicas keep every promise*'
+    'const bool upToDate = true;' '*replicas preserve all invariants*'
 mutate "commit without a quorum" src/raft_replication.cpp 'const LogIndex agreed = matches[matches.size() / 2];' \
-    'const LogIndex agreed = matches.front();' '*replicas keep every promise*'
+    'const LogIndex agreed = matches.front();' '*replicas preserve all invariants*'
 mutate "voter before it caught up" src/raft_members.cpp \
-    'return caughtUp && now' 'return (caughtUp || !caughtUp) && now' '*loss of a second one*,*replicas keep every promise*'
+    'return caughtUp && now' 'return (caughtUp || !caughtUp) && now' '*loss of a second one*,*replicas preserve all invariants*'
 mutate "steering: openings queued during a stall are forwarded" src/flow_steering.cpp 'if (packet.maxQueueTime >= retransmissionDelay(packet.copy)) {' \
     'if (packet.maxQueueTime >= retransmissionDelay(packet.copy) && packet.reset) {' '*queued until its retransmission is due*'
 mutate "steering: a copy right behind the first makes its target suspect" src/flow_steering.cpp '|| tooSoon) &&' '|| (tooSoon && packet.reset)) &&' '*right behind the first*'
@@ -115,8 +115,8 @@
 mutate "links: secure links may fall silent for good" src/secure_links.cpp 'link.activity.timedOut(now) && (link.peerPings' \
     'link.activity.timedOut(now) && (link.tag == ~std::uint64_t{0}' '*secure link that falls silent*'
 mutate "links: every connection is closed after its answer" src/http.cpp \
-    'm_response.keep_alive(m_parser->get().keep_alive() && !reply.last);' 'm_response.keep_alive(false);' '*keeps its connection*'
-mutate "links: the longest open connection is closed, busy or not" src/http.cpp 'if (connection->closeIfUnused()) {' \
+    'm_response.keep_alive(m_parser->get().keep_alive() && !response.closeConnection);' 'm_response.keep_alive(false);' '*keeps its connection*'
+mutate "links: the longest open connection is closed, busy or not" src/http.cpp 'if (connection->closeIfIdle()) {' \
     'if (connection == nullptr) {' '*flood of connections*'
 mutate "directory: a page claims more changes than it holds" src/directory_log.cpp 'slice.upTo = std::prev(at)->first;' \
     'slice.upTo = m_newest;' '*changes after any number*,*follower converges*'
@@ -153,8 +153,8 @@
 mutate "version watch: a lagging replica vouches" src/version_watch.h 'caughtUp && own.reaches(m_highest)' 'caughtUp && (own.reaches(m_highest) || caughtUp)' '*lags behind another*'
 mutate "no compare-and-set on versions" src/control_state.cpp 'if (propose.baseVersion != latestVersion()) {' \
     'if (propose.baseVersion > latestVersion()) {' '*equal numbers*'
-mutate "no memory of changes" src/control_state.cpp 'if (const ChangeResult *known = resultOf(change.change)) {' \
-    'if (const ChangeResult *known = resultOf({})) {' '*applies once*,*equal numbers*'
+mutate "no memory of changes" src/control_state.cpp 'if (const ChangeResult *known = findResult(change.change)) {' \
+    'if (const ChangeResult *known = findResult({})) {' '*applies once*,*equal numbers*'
 mutate "bundles go back" src/rollout.cpp 'if (offer.version <= m_version) {' 'if (offer.version == m_version) {' '*only upward*'
 mutate "a torn record is taken" src/raft_storage.cpp 'if (loadInteger<std::uint64_t>(bytes, at + 8) != checksum(length, payload)) {' \
     'if (length > MaxRecord) {' '*damaged record*,*torn record*'
--- a/tests/test_control_state.cpp
+++ b/tests/test_control_state.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Control state: sign-off, roles, revocation, idempotent changes, staged rollout, audit trail.
+// Control state: approvals, roles, revocation, idempotent changes, staged rollout, audit trail.
 #include "control_state.h"
 #include "rollout.h"
 
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("a change applies once, and its resend gets the first answer, also after a snapshot")
+TEST_CASE("a change applies once, and a retry receives the first result, also after a snapshot")
 {
     Fixture fixture;
     const SignedChange change = fixture.change("admin", ProposeBundle{0, bundleText(1)});
@@ -60,7 +60,7 @@
     CHECK_FALSE(restored.restore(Bytes{1, 2, 3}));
 }
 
-TEST_CASE("a bundle that asks for two operators waits for the second")
+TEST_CASE("a bundle that requires two approvals is accepted only after the second")
 {
     Fixture fixture;
     fixture.apply("admin", ProposeBundle{0, bundleText(2)});
@@ -73,7 +73,7 @@
     CHECK(fixture.apply("admin", ApproveBundle{ChangeId{99}}).refusal == ChangeRefusal::UnknownProposal);
 }
 
-TEST_CASE("who may not sign is refused, and the refusal stands in the audit trail")
+TEST_CASE("changes without valid authorization are refused and recorded in the audit trail")
 {
     Fixture fixture;
     SignedChange forged = fixture.change("admin", ProposeBundle{0, bundleText(1)});
@@ -91,7 +91,7 @@
     CHECK(fixture.state.audit().front().refusal == ChangeRefusal::BadSignature);
 }
 
-TEST_CASE("a forged change does not burn the change id of the true one")
+TEST_CASE("a forged change does not block the change id of the genuine one")
 {
     Fixture fixture;
     const SignedChange change = fixture.change("admin", ProposeBundle{0, bundleText(1)});
@@ -101,86 +101,86 @@
     CHECK(fixture.state.apply(change).version == 1);
 }
 
-TEST_CASE("the audit trail shows any change to it")
+TEST_CASE("the hash chain reveals changed and missing audit records")
 {
     Fixture fixture;
     for (std::uint64_t version = 0; version < 5; ++version) {
         fixture.apply("admin", ProposeBundle{version, bundleText(1)});
     }
     std::vector<AuditRecord> records(fixture.state.audit().begin(), fixture.state.audit().end());
-    CHECK_FALSE(firstBrokenRecord(records));
+    CHECK_FALSE(firstInvalidRecord(records));
     std::vector<AuditRecord> changed = records;
     changed[2].operatorName = "other";
-    CHECK(firstBrokenRecord(changed) == 3);
+    CHECK(firstInvalidRecord(changed) == 3);
     changed = records;
     changed.erase(changed.begin() + 1);
-    CHECK(firstBrokenRecord(changed) == 3);
+    CHECK(firstInvalidRecord(changed) == 3);
     changed = records;
     changed[1].version = 7;
-    changed[1].hash = hashOf(changed[1]);
-    CHECK(firstBrokenRecord(changed) == 3);
+    changed[1].hash = auditRecordHash(changed[1]);
+    CHECK(firstInvalidRecord(changed) == 3);
 }
 
-TEST_CASE("a staged version reaches the first balancers, then all, or is stopped")
+TEST_CASE("a stopped rollout leaves its version on the first balancers only, and the next version reaches all")
 {
     Fixture fixture;
     fixture.apply("admin", ProposeBundle{0, bundleText(1)});
     fixture.apply("admin", ProposeBundle{1, bundleText(1, R"(, "firstBalancers": [3])")});
     CHECK(fixture.state.versionFor(BalancerId{3})->version == 2);
     CHECK(fixture.state.versionFor(BalancerId{4})->version == 1);
-    CHECK(fixture.apply("author", SteerRollout{1, RolloutAction::Continue}).refusal == ChangeRefusal::NoSuchRollout);
-    CHECK(fixture.apply("author", SteerRollout{2, RolloutAction::Stop}).refusal == ChangeRefusal::None);
+    CHECK(fixture.apply("author", UpdateRollout{1, RolloutAction::Continue}).refusal == ChangeRefusal::NoSuchRollout);
+    CHECK(fixture.apply("author", UpdateRollout{2, RolloutAction::Stop}).refusal == ChangeRefusal::None);
     CHECK(fixture.state.versionFor(BalancerId{4})->version == 1);
     CHECK(fixture.state.versionFor(BalancerId{3})->version == 2);
-    CHECK(fixture.apply("author", SteerRollout{2, RolloutAction::Continue}).refusal == ChangeRefusal::NoSuchRollout);
+    CHECK(fixture.apply("author", UpdateRollout{2, RolloutAction::Continue}).refusal == ChangeRefusal::NoSuchRollout);
     fixture.apply("admin", ProposeBundle{2, bundleText(1)});
     CHECK(fixture.state.versionFor(BalancerId{4})->version == 3);
 }
 
-TEST_CASE("a balancer applies offers whole, only upward, by delta or by the whole")
+TEST_CASE("a balancer applies offers atomically and only upward, as a patch or as a whole document")
 {
     Fixture fixture;
     fixture.apply("admin", ProposeBundle{0, bundleText(1)});
-    std::string long2 = bundleText(1, R"(, "firstBalancers": [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17])");
-    fixture.apply("admin", ProposeBundle{1, long2});
-    std::string long3 = long2;
-    long3.replace(long3.find("17"), 2, "18");
-    fixture.apply("admin", ProposeBundle{2, long3});
+    std::string text2 = bundleText(1, R"(, "firstBalancers": [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17])");
+    fixture.apply("admin", ProposeBundle{1, text2});
+    std::string text3 = text2;
+    text3.replace(text3.find("17"), 2, "18");
+    fixture.apply("admin", ProposeBundle{2, text3});
     const auto offer = [&](std::uint64_t from, std::uint64_t to) {
         return makeOffer(fixture.state.find(from), *fixture.state.find(to), fixture.state.operators());
     };
     RolloutAgent agent;
-    CHECK(agent.take(offer(2, 3)) == OfferEffect::BaseMissing);
-    CHECK(agent.take(offer(0, 1)) == OfferEffect::Applied);
+    CHECK(agent.applyOffer(offer(2, 3)) == OfferResult::BaseMismatch);
+    CHECK(agent.applyOffer(offer(0, 1)) == OfferResult::Applied);
     BundleOffer damaged = offer(0, 2);
     damaged.digest[0] ^= 1;
-    CHECK(agent.take(damaged) == OfferEffect::Damaged);
+    CHECK(agent.applyOffer(damaged) == OfferResult::Damaged);
     CHECK(agent.version() == 1);
-    CHECK(agent.take(offer(0, 2)) == OfferEffect::Applied);
-    const BundleOffer delta = offer(2, 3);
-    CHECK(delta.baseVersion == 2);
-    CHECK(delta.document.size() < offer(0, 3).document.size());
-    CHECK(agent.take(delta) == OfferEffect::Applied);
-    CHECK(agent.take(offer(0, 1)) == OfferEffect::NotNewer);
+    CHECK(agent.applyOffer(offer(0, 2)) == OfferResult::Applied);
+    const BundleOffer patch = offer(2, 3);
+    CHECK(patch.baseVersion == 2);
+    CHECK(patch.document.size() < offer(0, 3).document.size());
+    CHECK(agent.applyOffer(patch) == OfferResult::Applied);
+    CHECK(agent.applyOffer(offer(0, 1)) == OfferResult::NotNewer);
     CHECK(agent.version() == 3);
     RolloutAgent restarted;
     CHECK(restarted.restore(agent.version(), agent.text()));
-    CHECK(restarted.take(offer(0, 2)) == OfferEffect::NotNewer);
+    CHECK(restarted.applyOffer(offer(0, 2)) == OfferResult::NotNewer);
 }
 
-TEST_CASE("a version is confirmed only while a replica in contact with a quorum says so")
+TEST_CASE("a version is confirmed only by recent heartbeats of a replica in contact with a quorum")
 {
     Fixture fixture;
     fixture.apply("admin", ProposeBundle{0, bundleText(1)});
     RolloutAgent agent;
-    agent.take(makeOffer(nullptr, *fixture.state.find(1), {}));
+    agent.applyOffer(makeOffer(nullptr, *fixture.state.find(1), {}));
     const TimePoint start{std::chrono::seconds(100)};
     CHECK_FALSE(agent.confirmed(start));
-    agent.noteBeat(start, {1, false});
+    agent.handleHeartbeat(start, {1, false});
     CHECK_FALSE(agent.confirmed(start));
-    agent.noteBeat(start, {1, true});
+    agent.handleHeartbeat(start, {1, true});
     CHECK(agent.confirmed(start));
-    CHECK_FALSE(agent.confirmed(start + ConfirmationTime));
-    agent.noteBeat(start, {2, true});
+    CHECK_FALSE(agent.confirmed(start + ConfirmationTimeout));
+    agent.handleHeartbeat(start, {2, true});
     CHECK_FALSE(agent.confirmed(start));
 }
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -69,7 +69,7 @@
 {
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
-    HttpServer server(io, [](const HttpRequest &request, const HttpRespond &respond) {
+    HttpServer server(io, [](const HttpRequest &request, const HttpResponder &respond) {
         respond({200, "text/plain", "at " + request.path, {}});
     });
     REQUIRE(server.listen({Loopback, port}));
@@ -93,10 +93,10 @@
     constexpr std::size_t MaxConnections = 8;
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
-    std::vector<HttpRespond> pending;
+    std::vector<HttpResponder> pending;
     HttpServer server(
         io,
-        [&pending](const HttpRequest &request, const HttpRespond &respond) {
+        [&pending](const HttpRequest &request, const HttpResponder &respond) {
             request.path == "/slow" ? pending.push_back(respond) : respond({200, "text/plain", "at " + request.path, {}});
         },
         MaxConnections);
@@ -130,8 +130,8 @@
 {
     boost::asio::io_context io;
     const std::uint16_t port = freePort(io);
-    HttpServer server(io, [](const HttpRequest &, const HttpRespond &respond) {
-        HttpReply reply{200, "text/plain", "go on there", {}};
+    HttpServer server(io, [](const HttpRequest &, const HttpResponder &respond) {
+        HttpResponse reply{200, "text/plain", "go on there", {}};
         reply.last = true;
         respond(reply);
     });
