--- a/fuzz/fuzz_platform.cpp
+++ b/fuzz/fuzz_platform.cpp
@@ -17,7 +17,7 @@
     std::string reason;
     Platform::PacketHeadCodec::decode(bytes);
     Platform::readDocument(text, reason);
-    Platform::readAnnouncement(TargetKey{1}, text, SteeringFile{}, reason);
+    Platform::readAnnouncement(TargetKey{1}, text, SteeringSettings{}, reason);
     Platform::readTargetId(text);
     decodeMessage<NodeMessage>(bytes);
     decodeNotes(bytes);
--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -22,7 +22,7 @@
 constexpr const char *MemoryFile = "balancer";
 constexpr int SocketBuffer = 4 << 20;
 
-BalancerSettings coreSettings(const BalancerFile &file, Incarnation incarnation)
+BalancerSettings coreSettings(const BalancerDaemonSettings &file, Incarnation incarnation)
 {
     BalancerSettings settings;
     settings.self = {file.balancer, incarnation};
@@ -60,7 +60,8 @@
     return memory;
 }
 
-BalancerDaemon::BalancerDaemon(boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerFile file, BalancerMemory memory, bool testFaults)
+BalancerDaemon::BalancerDaemon(
+    boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings file, BalancerMemory memory, bool testFaults)
     : m_io(io)
     , m_settingsPath(std::move(settingsPath))
     , m_file(std::move(file))
@@ -147,7 +148,7 @@
 {
     leaf::try_handle_all(
         [this]() -> leaf::result<void> {
-            BOOST_LEAF_AUTO(file, loadBalancerFile(m_settingsPath));
+            BOOST_LEAF_AUTO(file, loadBalancerSettings(m_settingsPath));
             m_core.applyKeys(file.connectionIdKeys);
             LogLine(LogLevel::Info, "keys-reloaded").with("newest", static_cast<int>(file.connectionIdKeys.front().version));
             return {};
--- a/src/balancer_daemon.h
+++ b/src/balancer_daemon.h
@@ -43,7 +43,7 @@
 {
 public:
     // `memory` is what was kept from the run before, with this run's incarnation.
-    BalancerDaemon(boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerFile file, BalancerMemory memory, bool testFaults);
+    BalancerDaemon(boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings file, BalancerMemory memory, bool testFaults);
 
     // Binds and begins; false if an address can't be bound.
     bool start();
@@ -91,7 +91,7 @@
 
     boost::asio::io_context &m_io;
     std::filesystem::path m_settingsPath;
-    BalancerFile m_file;
+    BalancerDaemonSettings m_file;
     BalancerMemory m_memory;
     bool m_testFaults;
     BalancerCore<DealtSlots> m_core;
--- a/src/control_daemon.cpp
+++ b/src/control_daemon.cpp
@@ -12,7 +12,7 @@
 
 namespace Robinrail {
 
-ControlDaemon::ControlDaemon(boost::asio::io_context &io, ControlFile file, RaftStorage storage, bool testFaults)
+ControlDaemon::ControlDaemon(boost::asio::io_context &io, ControlDaemonSettings file, RaftStorage storage, bool testFaults)
     : m_io(io)
     , m_file(std::move(file))
     , m_testFaults(testFaults)
--- a/src/control_daemon.h
+++ b/src/control_daemon.h
@@ -27,7 +27,7 @@
 {
 public:
     // `storage` must be open; with `testFaults` the API can cut links.
-    ControlDaemon(boost::asio::io_context &io, ControlFile file, RaftStorage storage, bool testFaults);
+    ControlDaemon(boost::asio::io_context &io, ControlDaemonSettings file, RaftStorage storage, bool testFaults);
 
     // Binds and begins; false if an address can't be bound.
     bool start();
@@ -61,7 +61,7 @@
     HttpReply notLeader() const;
 
     boost::asio::io_context &m_io;
-    ControlFile m_file;
+    ControlDaemonSettings m_file;
     bool m_testFaults;
     ReplicaDriver<ControlState> m_driver;
     SecureLinks m_links;
--- a/src/main_balancer.cpp
+++ b/src/main_balancer.cpp
@@ -35,7 +35,7 @@
 
 leaf::result<int> run(const std::string &path, bool checkOnly, bool testFaults)
 {
-    BOOST_LEAF_AUTO(file, loadBalancerFile(path));
+    BOOST_LEAF_AUTO(file, loadBalancerSettings(path));
     if (checkOnly) {
         std::cout << path << ": ok\n";
         return 0;
--- a/src/main_control.cpp
+++ b/src/main_control.cpp
@@ -44,7 +44,7 @@
 }
 
 // Makes a fresh folder the beginning of a new cluster.
-leaf::result<void> bootstrap(RaftStorage &storage, const ControlFile &file)
+leaf::result<void> bootstrap(RaftStorage &storage, const ControlDaemonSettings &file)
 {
     if (!storage.fresh()) {
         return leaf::new_error(StorageError::ForeignFolder, StorageContext{file.dataFolder.string(), "--bootstrap needs an empty folder"});
@@ -60,7 +60,7 @@
 
 leaf::result<int> run(const std::string &path, bool checkOnly, bool bootstrapFirst, bool testFaults)
 {
-    BOOST_LEAF_AUTO(file, loadControlFile(path));
+    BOOST_LEAF_AUTO(file, loadControlSettings(path));
     if (checkOnly) {
         std::cout << path << ": ok\n";
         return 0;
--- a/src/process.cpp
+++ b/src/process.cpp
@@ -17,7 +17,7 @@
                                std::filesystem::path path,
                                std::vector<Endpoint> seeds,
                                std::function<void()> stop,
-                               std::function<void(const SteeringFile &)> reload)
+                               std::function<void(const SteeringSettings &)> reload)
     : m_path(std::move(path))
     , m_seeds(std::move(seeds))
     , m_stop(std::move(stop))
@@ -61,7 +61,7 @@
 {
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
-            BOOST_LEAF_AUTO(file, loadSteeringFile(m_path));
+            BOOST_LEAF_AUTO(file, loadSteeringSettings(m_path));
             if (file.seeds != m_seeds) {
                 m_seeds = file.seeds;
                 m_reload(file);
--- a/src/process.h
+++ b/src/process.h
@@ -22,7 +22,7 @@
                    std::filesystem::path path,
                    std::vector<Endpoint> seeds,
                    std::function<void()> stop,
-                   std::function<void(const SteeringFile &)> reload);
+                   std::function<void(const SteeringSettings &)> reload);
 
 private:
     void awaitSignal();
@@ -32,7 +32,7 @@
     std::filesystem::path m_path;
     std::vector<Endpoint> m_seeds; // The part of the settings that may change.
     std::function<void()> m_stop;
-    std::function<void(const SteeringFile &)> m_reload;
+    std::function<void(const SteeringSettings &)> m_reload;
     boost::asio::signal_set m_signals;
     boost::asio::steady_timer m_timer;
 };
--- a/src/replica_folder.cpp
+++ b/src/replica_folder.cpp
@@ -39,7 +39,7 @@
 }
 
 // At the first start of all, the seeds are the voters, and each seed writes the same beginning of the log.
-leaf::result<RaftStorage> beginCluster(RaftStorage storage, const SteeringFile &file, ReplicaId self)
+leaf::result<RaftStorage> beginCluster(RaftStorage storage, const SteeringSettings &file, ReplicaId self)
 {
     std::vector<ReplicaKey> voters;
     for (const Endpoint &seed : file.seeds) {
@@ -61,7 +61,7 @@
 
 } // namespace
 
-leaf::result<RaftStorage> openReplicaFolder(const SteeringFile &file, ReplicaId self)
+leaf::result<RaftStorage> openReplicaFolder(const SteeringSettings &file, ReplicaId self)
 {
     const std::uint64_t disk = file.firstStart ? FirstDisk : randomDisk();
     BOOST_LEAF_AUTO(storage, RaftStorage::open(file.dataFolder, self, disk));
--- a/src/replica_folder.h
+++ b/src/replica_folder.h
@@ -10,7 +10,7 @@
 namespace Robinrail {
 
 // The storage of a replica; StorageError with StorageContext if the disk refuses.
-boost::leaf::result<RaftStorage> openReplicaFolder(const SteeringFile &file, ReplicaId self);
+boost::leaf::result<RaftStorage> openReplicaFolder(const SteeringSettings &file, ReplicaId self);
 
 // The notes that go with this disk; empty ones, which only cost time, if there are none or they can't be read.
 RecoveryNotes readRecoveryNotes(const std::filesystem::path &path, std::uint64_t disk);
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -23,18 +23,18 @@
 // The file of the recovery notes in the data folder.
 constexpr const char *NotesFile = "notes";
 
-RaftPolicy policyOf(const SteeringFile &file)
+RaftPolicy policyOf(const SteeringSettings &file)
 {
     RaftPolicy policy;
-    policy.wantedVoters = 2 * file.borneLosses + 1;
-    policy.copies = file.borneLosses + 1;
+    policy.wantedVoters = 2 * file.maxLostReplicas + 1;
+    policy.copies = file.maxLostReplicas + 1;
     policy.lostAfter = VoterLostAfter;
     return policy;
 }
 
 } // namespace
 
-ReplicaNode::ReplicaNode(boost::asio::io_context &io, SteeringFile file)
+ReplicaNode::ReplicaNode(boost::asio::io_context &io, SteeringSettings file)
     : m_io(io)
     , m_file(std::move(file))
     , m_self(ReplicaId{m_file.adminListen.address})
@@ -50,7 +50,7 @@
                [this](LinkHandle link, const NodeHello &peer) {
                    onClosed(link, peer);
                }})
-    , m_targets(m_links, monotonicNow(), place(), m_file.announceInterval, m_file.borneLoss())
+    , m_targets(m_links, monotonicNow(), place(), m_file.announceInterval, m_file.lossTolerance())
     , m_prober(io)
     , m_notes(m_file.dataFolder / NotesFile)
     , m_timer(io)
@@ -74,7 +74,7 @@
     return true;
 }
 
-void ReplicaNode::reload(const SteeringFile &file)
+void ReplicaNode::reload(const SteeringSettings &file)
 {
     m_file.seeds = file.seeds;
     m_links.maintain(knownReplicas(), m_file.linkPort);
@@ -371,7 +371,7 @@
     if (peer.role == NodeRole::Replica) {
         return probe(list);
     }
-    const std::size_t probers = 2 * m_file.borneLosses + 1; // So that enough are left of them when a borne loss has struck.
+    const std::size_t probers = 2 * m_file.maxLostReplicas + 1; // So that enough are left of them when a borne loss has struck.
     const std::vector<ReplicaPlace> reachable = reachableReplicas();
     std::map<ReplicaId, TargetsUnanswered> shares;
     for (const TargetKey key : list.keys) {
@@ -432,7 +432,7 @@
     return m_driver->core().raft();
 }
 
-const SteeringFile &ReplicaNode::settings() const
+const SteeringSettings &ReplicaNode::settings() const
 {
     return m_file;
 }
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -53,13 +53,13 @@
     using Respond = std::function<void(ReplicaAnswer)>;
 
     // `file` must have a data folder.
-    ReplicaNode(boost::asio::io_context &io, SteeringFile file);
+    ReplicaNode(boost::asio::io_context &io, SteeringSettings file);
 
     // Binds and begins; false if the address can't be bound.
     bool start();
 
     // Takes changed settings; only the seeds can change while it runs.
-    void reload(const SteeringFile &file);
+    void reload(const SteeringSettings &file);
 
     // The process is about to end: says so, and what passed over the links.
     void beginStop();
@@ -88,7 +88,7 @@
 
     const RoutingDocument &document() const;
     const DataCentreDrains &drains() const;
-    const SteeringFile &settings() const;
+    const SteeringSettings &settings() const;
 
     // Where the leader takes calls; port 0 if it is not known.
     Endpoint leaderAdmin() const;
@@ -137,7 +137,7 @@
     std::set<ReplicaId> knownReplicas() const;
 
     boost::asio::io_context &m_io;
-    SteeringFile m_file;
+    SteeringSettings m_file;
     ReplicaId m_self;
     std::optional<Driver> m_driver; // Empty while the disk refuses to work.
     TimePoint m_storageDue;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -112,7 +112,7 @@
     return log;
 }
 
-void readDataCentre(Reader &reader, BalancerFile &file)
+void readDataCentre(Reader &reader, BalancerDaemonSettings &file)
 {
     const auto declared = reader.at("/dataCentres").get<std::vector<std::string>>();
     file.dataCentre = reader.at("/dataCentre").get<std::string>();
@@ -123,7 +123,7 @@
     file.dataCentreId = DataCentreId{static_cast<std::uint8_t>(at - declared.begin() + 1)};
 }
 
-void readPeers(Reader &reader, BalancerFile &file)
+void readPeers(Reader &reader, BalancerDaemonSettings &file)
 {
     std::set<BalancerId> seen;
     for (std::size_t i = 0; i < reader.at("/peers").size(); ++i) {
@@ -137,7 +137,7 @@
     }
 }
 
-void readConnectionIdKeys(Reader &reader, BalancerFile &file)
+void readConnectionIdKeys(Reader &reader, BalancerDaemonSettings &file)
 {
     std::set<std::uint8_t> seen;
     for (std::size_t i = 0; i < reader.at("/keys/connectionIds").size(); ++i) {
@@ -158,11 +158,11 @@
     return file + ": " + fault.text();
 }
 
-leaf::result<BalancerFile> loadBalancerFile(const std::filesystem::path &path)
+leaf::result<BalancerDaemonSettings> loadBalancerSettings(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, balancerSettingsSchema()));
     Reader reader(document);
-    BalancerFile file;
+    BalancerDaemonSettings file;
     file.balancer = BalancerId{reader.at("/balancer").get<std::uint16_t>()};
     readDataCentre(reader, file);
     for (std::size_t i = 0; i < reader.at("/services").size(); ++i) {
@@ -187,11 +187,11 @@
     return file;
 }
 
-leaf::result<ControlFile> loadControlFile(const std::filesystem::path &path)
+leaf::result<ControlDaemonSettings> loadControlSettings(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, controlSettingsSchema()));
     Reader reader(document);
-    ControlFile file;
+    ControlDaemonSettings file;
     file.replica = ReplicaId{reader.at("/replica").get<std::uint16_t>()};
     file.listen = reader.endpoint("/listen/links");
     file.adminListen = reader.endpoint("/listen/admin");
@@ -225,22 +225,22 @@
     return file;
 }
 
-DataCentreId SteeringFile::dataCentreId(std::string_view name) const
+DataCentreId SteeringSettings::dataCentreId(std::string_view name) const
 {
     const auto at = std::find(dataCentres.begin(), dataCentres.end(), name);
     return DataCentreId{static_cast<std::uint8_t>(at == dataCentres.end() ? 0 : at - dataCentres.begin() + 1)};
 }
 
-LossTolerance SteeringFile::borneLoss() const
+LossTolerance SteeringSettings::lossTolerance() const
 {
-    return {borneLosses, borneDataCentres};
+    return {maxLostReplicas, maxLostDataCentres};
 }
 
-leaf::result<SteeringFile> loadSteeringFile(const std::filesystem::path &path)
+leaf::result<SteeringSettings> loadSteeringSettings(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, steeringSettingsSchema()));
     Reader reader(document);
-    SteeringFile file;
+    SteeringSettings file;
     file.node = reader.at("/node").get<std::string>();
     file.dataCentre = reader.at("/dataCentre").get<std::string>();
     file.dataCentres = reader.at("/dataCentres").get<std::vector<std::string>>();
@@ -259,9 +259,9 @@
     file.linkListenPort = document.value("linkListenPort", file.linkPort);
     file.firstStart = document.value("firstStart", false);
     file.announceInterval = std::chrono::milliseconds(reader.at("/announceIntervalMs").get<int>());
-    file.borneLosses = reader.at("/borneLosses").get<std::size_t>();
-    file.borneDataCentres = document.value("borneDataCentres", std::size_t{0});
-    file.drainTime = std::chrono::milliseconds(reader.at("/drainMs").get<std::int64_t>());
+    file.maxLostReplicas = reader.at("/borneLosses").get<std::size_t>();
+    file.maxLostDataCentres = document.value("borneDataCentres", std::size_t{0});
+    file.drainTimeout = std::chrono::milliseconds(reader.at("/drainMs").get<std::int64_t>());
     file.grace = std::chrono::milliseconds(reader.at("/graceMs").get<std::int64_t>());
     file.dataFolder = document.value("dataFolder", "");
     file.log = readLog(document);
--- a/src/settings.h
+++ b/src/settings.h
@@ -35,7 +35,7 @@
     Endpoint endpoint;
 };
 
-struct BalancerFile {
+struct BalancerDaemonSettings {
     BalancerId balancer{};
     std::string dataCentre;
     DataCentreId dataCentreId{}; // Position in the list of declared data centres, from 1.
@@ -59,7 +59,7 @@
     Endpoint admin;
 };
 
-struct ControlFile {
+struct ControlDaemonSettings {
     ReplicaId replica{};
     Endpoint listen;
     Endpoint adminListen;
@@ -72,7 +72,7 @@
 };
 
 // Settings of a steering balancer or of a routing replica; each is told a few addresses and finds the rest.
-struct SteeringFile {
+struct SteeringSettings {
     std::string node;
     std::string dataCentre;
     std::vector<std::string> dataCentres; // Sorted, so that every node numbers them alike.
@@ -83,23 +83,23 @@
     std::uint16_t linkListenPort = 0; // Where this replica listens: another port if something forwards to it.
     bool firstStart = false; // The whole system starts for the first time, with empty disks.
     Duration announceInterval{}; // Targets announce themselves about this often.
-    std::size_t borneLosses = 0; // Replicas that may be lost at once, disks and all.
-    std::size_t borneDataCentres = 0; // Data centres that may be lost at once, with all of their replicas.
-    Duration drainTime{}; // A draining target must get no new flow after this.
+    std::size_t maxLostReplicas = 0; // Replicas that may be lost at once, disks and all.
+    std::size_t maxLostDataCentres = 0; // Data centres that may be lost at once, with all of their replicas.
+    Duration drainTimeout{}; // A draining target must get no new flow after this.
     Duration grace{}; // From the request to stop to the kill.
     std::filesystem::path dataFolder; // Of a replica.
     LogSettings log;
 
     // What may be lost at once.
-    LossTolerance borneLoss() const;
+    LossTolerance lossTolerance() const;
 
     // Number of a data centre, from 1; 0 if it is not listed.
     DataCentreId dataCentreId(std::string_view name) const;
 };
 
-boost::leaf::result<BalancerFile> loadBalancerFile(const std::filesystem::path &path);
-boost::leaf::result<ControlFile> loadControlFile(const std::filesystem::path &path);
-boost::leaf::result<SteeringFile> loadSteeringFile(const std::filesystem::path &path);
+boost::leaf::result<BalancerDaemonSettings> loadBalancerSettings(const std::filesystem::path &path);
+boost::leaf::result<ControlDaemonSettings> loadControlSettings(const std::filesystem::path &path);
+boost::leaf::result<SteeringSettings> loadSteeringSettings(const std::filesystem::path &path);
 
 // "127.0.0.1:80", and back; empty if it is not an IPv4 address with a port.
 std::optional<Endpoint> parseEndpoint(std::string_view text);
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -10,7 +10,7 @@
 
 namespace Robinrail {
 
-SteeringNode::SteeringNode(boost::asio::io_context &io, SteeringFile file)
+SteeringNode::SteeringNode(boost::asio::io_context &io, SteeringSettings file)
     : m_file(std::move(file))
     , m_links(io,
               {NodeRole::Balancer, ReplicaId{0}, m_file.dataCentreId(m_file.dataCentre)},
@@ -33,7 +33,7 @@
     , m_choice(m_file.dataCentreId(m_file.dataCentre), m_file.packetListen.address)
     , m_follower(m_steering.targets())
     , m_onLearnt([] {})
-    , m_findings(m_file.borneLoss())
+    , m_findings(m_file.lossTolerance())
     , m_sendResets([](std::span<const FlowReset>) {})
 {
 }
@@ -49,7 +49,7 @@
     tick();
 }
 
-void SteeringNode::reload(const SteeringFile &file)
+void SteeringNode::reload(const SteeringSettings &file)
 {
     m_file.seeds = file.seeds;
     knowReplicas();
@@ -400,7 +400,7 @@
     }
 }
 
-const SteeringFile &SteeringNode::settings() const
+const SteeringSettings &SteeringNode::settings() const
 {
     return m_file;
 }
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -36,12 +36,12 @@
 class SteeringNode
 {
 public:
-    SteeringNode(boost::asio::io_context &io, SteeringFile file);
+    SteeringNode(boost::asio::io_context &io, SteeringSettings file);
 
     void start();
 
     // Takes changed settings; only the seeds can change while it runs.
-    void reload(const SteeringFile &file);
+    void reload(const SteeringSettings &file);
 
     // From now on it is not ready, and forwards as before until the process ends.
     void beginStop();
@@ -72,7 +72,7 @@
     void countSendFailure();
     void countHeldTooLong(std::uint64_t packets);
 
-    const SteeringFile &settings() const;
+    const SteeringSettings &settings() const;
     std::string metricsText() const;
 
 private:
@@ -95,7 +95,7 @@
     void logDecision(TimePoint now, const FlowPacket &packet, const SteeringDecision &decision);
     void updateReadiness();
 
-    SteeringFile m_file;
+    SteeringSettings m_file;
     NodeLinks m_links;
     boost::asio::steady_timer m_timer;
     FlowSteering m_steering;
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -42,9 +42,9 @@
     return read;
 }
 
-SteeringFile settingsOf()
+SteeringSettings settingsOf()
 {
-    SteeringFile file;
+    SteeringSettings file;
     file.dataCentres = {"lalit", "thamel"};
     return file;
 }
--- a/tests/test_replica.cpp
+++ b/tests/test_replica.cpp
@@ -23,9 +23,9 @@
 const TimePoint Start(std::chrono::hours(1));
 constexpr std::uint32_t Seed = 7;
 
-SteeringFile settingsFor(const fs::path &folder, bool firstStart)
+SteeringSettings settingsFor(const fs::path &folder, bool firstStart)
 {
-    SteeringFile file;
+    SteeringSettings file;
     file.dataFolder = folder;
     file.firstStart = firstStart;
     file.seeds = {{1, 70}, {2, 70}, {3, 70}};
@@ -34,7 +34,7 @@
 
 // Opens the folder of a replica, and uses it; whether both worked.
 template<typename Use>
-bool withFolder(const SteeringFile &file, ReplicaId self, Use use)
+bool withFolder(const SteeringSettings &file, ReplicaId self, Use use)
 {
     return leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
@@ -95,7 +95,7 @@
 TEST_CASE("a driver whose disk refuses says so, and does not send what it could not write")
 {
     const Folder folder;
-    const SteeringFile file = settingsFor(folder.path() / "data", true);
+    const SteeringSettings file = settingsFor(folder.path() / "data", true);
     CHECK(withFolder(file, ReplicaId{1}, [&file](RaftStorage storage) {
         ReplicaDriver<RoutingState> driver(std::move(storage), Start, Seed);
         std::size_t sent = 0;
--- a/tests/test_replica_node.cpp
+++ b/tests/test_replica_node.cpp
@@ -64,7 +64,7 @@
 
     ReplicaNode &start(std::size_t number, std::vector<Endpoint> seeds, bool firstStart)
     {
-        SteeringFile file;
+        SteeringSettings file;
         file.node = "replica-" + std::to_string(number);
         file.dataCentres = {"here"};
         file.dataCentre = "here";
@@ -74,7 +74,7 @@
         file.linkListenPort = m_port;
         file.firstStart = firstStart;
         file.announceInterval = seconds(1);
-        file.borneLosses = 1;
+        file.maxLostReplicas = 1;
         file.dataFolder = m_folder.path() / file.node;
         Process &process = *m_processes.emplace_back(std::make_unique<Process>(file));
         REQUIRE(process.node.start());
@@ -103,7 +103,7 @@
 
 private:
     struct Process {
-        explicit Process(const SteeringFile &file)
+        explicit Process(const SteeringSettings &file)
             : node(io, file)
         {
         }
--- a/tests/test_settings.cpp
+++ b/tests/test_settings.cpp
@@ -71,7 +71,7 @@
 std::string faultOf(const std::string &text)
 {
     return faultOfLoading(text, [](const std::string &path) -> leaf::result<void> {
-        BOOST_LEAF_AUTO(file, loadBalancerFile(path));
+        BOOST_LEAF_AUTO(file, loadBalancerSettings(path));
         CHECK(file.dataCentreId == DataCentreId{2});
         return {};
     });
@@ -80,7 +80,7 @@
 std::string steeringFaultOf(const Json &settings)
 {
     return faultOfLoading(settings.dump(), [](const std::string &path) -> leaf::result<void> {
-        BOOST_LEAF_AUTO(file, loadSteeringFile(path));
+        BOOST_LEAF_AUTO(file, loadSteeringSettings(path));
         // Numbered in the order of the names, whatever the order in the file.
         CHECK(file.dataCentreId(file.dataCentre) == DataCentreId{1});
         CHECK(file.seeds.size() == 2);
--- a/tests/test_soak.cpp
+++ b/tests/test_soak.cpp
@@ -93,7 +93,7 @@
     const std::optional<RoutingDocument> document = Platform::readDocument(Platform::writeDocument(table), reason);
     REQUIRE_MESSAGE(document, reason);
     CHECK(document->table == table);
-    SteeringFile settings;
+    SteeringSettings settings;
     settings.dataCentres = DataCentres;
     TargetRecord record;
     record.key = TargetKey{0x1234};
