--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -262,7 +262,7 @@
     file.maxLostReplicas = reader.at("/borneLosses").get<std::size_t>();
     file.maxLostDataCentres = document.value("borneDataCentres", std::size_t{0});
     file.drainTimeout = std::chrono::milliseconds(reader.at("/drainMs").get<std::int64_t>());
-    file.grace = std::chrono::milliseconds(reader.at("/graceMs").get<std::int64_t>());
+    file.stopGracePeriod = std::chrono::milliseconds(reader.at("/graceMs").get<std::int64_t>());
     file.dataFolder = document.value("dataFolder", "");
     file.log = readLog(document);
     if (reader.fault()) {
--- a/src/settings.h
+++ b/src/settings.h
@@ -86,7 +86,7 @@
     std::size_t maxLostReplicas = 0; // Replicas that may be lost at once, disks and all.
     std::size_t maxLostDataCentres = 0; // Data centres that may be lost at once, with all of their replicas.
     Duration drainTimeout{}; // A draining target must get no new flow after this.
-    Duration grace{}; // From the request to stop to the kill.
+    Duration stopGracePeriod{}; // From the request to stop to the kill.
     std::filesystem::path dataFolder; // Of a replica.
     LogSettings log;
 
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -66,7 +66,7 @@
 
 Duration SteeringNode::stopTime() const
 {
-    return std::min(FabricNoticeTime, m_file.grace / 2);
+    return std::min(FabricNoticeTime, m_file.stopGracePeriod / 2);
 }
 
 bool SteeringNode::ready() const
