--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -139,7 +139,7 @@
 void BalancerDaemon::stop()
 {
     LogLine(LogLevel::Info, "stopping").with("flows", m_core.context().flows.size());
-    m_core.stop(monotonicNow(), m_file.linger);
+    m_core.stop(monotonicNow(), m_file.shutdownLinger);
     flush();
 }
 
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -179,7 +179,7 @@
     readConnectionIdKeys(reader, file);
     file.adminToken = reader.at("/adminToken").get<std::string>();
     file.dataFolder = document.value("dataFolder", "");
-    file.linger = std::chrono::milliseconds(document.value("lingerMs", 8000));
+    file.shutdownLinger = std::chrono::milliseconds(document.value("lingerMs", 8000));
     file.log = readLog(document);
     if (reader.fault()) {
         return invalid(path, *reader.fault());
--- a/src/settings.h
+++ b/src/settings.h
@@ -49,7 +49,7 @@
     std::vector<VersionedMacKey> connectionIdKeys; // Newest first.
     std::string adminToken;
     std::filesystem::path dataFolder; // Empty: nothing is kept.
-    Duration linger = std::chrono::seconds(8);
+    Duration shutdownLinger = std::chrono::seconds(8);
     LogSettings log;
 };
 
