--- a/src/node_links.h
+++ b/src/node_links.h
@@ -114,7 +114,7 @@
     LinkTraffic m_traffic;
     TimePoint m_trafficLogDue;
     std::uint64_t m_refused = 0; // Links closed from here: one too many, or a message that can't be read.
-    LogBudget m_refusedLog;
+    LogRateLimiter m_refusedLog;
     WebsocketHub m_hub;
 };
 
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -164,9 +164,9 @@
     ReachWatch m_reach;
     bool m_lags = false; // It hears its leader and lacks what is committed, as of the last beat.
     std::uint64_t m_refusedMessages = 0; // Of consensus.
-    LogBudget m_unreadableLog;
+    LogRateLimiter m_unreadableLog;
     std::uint64_t m_refusedCalls = 0;
-    LogBudget m_refusedLog;
+    LogRateLimiter m_refusedLog;
     std::uint64_t m_changes = 0;
     LatencyHistogram m_commitTimes;
     std::uint64_t m_storageFailures = 0;
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -117,10 +117,10 @@
     ProbeFindings m_findings;
     std::function<void(std::span<const FlowReset>)> m_sendResets;
     std::uint64_t m_flowsReset = 0;
-    LogBudget m_resetLog;
+    LogRateLimiter m_resetLog;
     bool m_ready = false;
     bool m_stopping = false;
-    std::array<LogBudget, SteeringReasonCount> m_logs;
+    std::array<LogRateLimiter, SteeringReasonCount> m_logs;
     std::uint64_t m_malformed = 0;
     std::uint64_t m_sendFailures = 0;
     std::uint64_t m_heldTooLong = 0;
--- a/src/target_exchange.h
+++ b/src/target_exchange.h
@@ -138,9 +138,9 @@
     TimePoint m_receiptsAt; // When the receipts came that are being taken.
     bool m_restored = false; // Targets were known from before the restart.
     bool m_changed = false;
-    LogBudget m_newsLog;
-    LogBudget m_silentLog;
-    LogBudget m_malformedLog;
+    LogRateLimiter m_newsLog;
+    LogRateLimiter m_silentLog;
+    LogRateLimiter m_malformedLog;
     std::uint64_t m_announcements = 0;
     std::uint64_t m_drainsUnanswered = 0;
     LatencyHistogram m_drainTimes;
