--- a/src/balancer_api.cpp
+++ b/src/balancer_api.cpp
@@ -218,7 +218,7 @@
 {
     const BalancerContext &context = m_core.context();
     const Counters &counters = context.counters;
-    MetricsText text;
+    PrometheusWriter text;
     text.gauge("robinrail_flows", "Flows owned by this balancer.", static_cast<double>(context.flows.size()));
     text.counter("robinrail_flows_opened_total", "Flows opened here.", static_cast<double>(counters.flowsOpened));
     text.counter("robinrail_flows_adopted_total", "Flows taken over from owners that stop or are gone.", static_cast<double>(counters.flowsAdopted));
--- a/src/control_daemon_api.cpp
+++ b/src/control_daemon_api.cpp
@@ -192,7 +192,7 @@
 HttpReply ControlDaemon::metrics() const
 {
     const RaftCore &raft = m_driver.core().raft();
-    MetricsText text;
+    PrometheusWriter text;
     text.gauge("robinrail_control_term", "Consensus term.", static_cast<double>(value(raft.term())));
     text.gauge("robinrail_control_leader", "1 on the leader.", raft.role() == RaftRole::Leader ? 1 : 0);
     text.gauge("robinrail_control_in_contact", "1 while in contact with a quorum.", raft.inContact(monotonicNow()) ? 1 : 0);
--- a/src/link_traffic.cpp
+++ b/src/link_traffic.cpp
@@ -69,7 +69,7 @@
     return sum;
 }
 
-void LinkTraffic::describe(MetricsText &text) const
+void LinkTraffic::describe(PrometheusWriter &text) const
 {
     const auto counters = [&](const char *name, const char *help, std::uint64_t Tally::*figure) {
         for (std::size_t kind = 0; kind < Kinds; ++kind) {
--- a/src/link_traffic.h
+++ b/src/link_traffic.h
@@ -35,7 +35,7 @@
     std::uint64_t bytes(LinkDirection direction, LinkDistance distance) const;
 
     // Adds counters of messages and bytes, three labels each.
-    void describe(MetricsText &text) const;
+    void describe(PrometheusWriter &text) const;
 
     // Writes one line: bytes by direction and distance, then each kind's messages and bytes where there are any.
     void log() const;
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -49,17 +49,17 @@
     return m_sum;
 }
 
-void MetricsText::counter(std::string_view name, std::string_view help, double number, std::string_view labels)
+void PrometheusWriter::counter(std::string_view name, std::string_view help, double number, std::string_view labels)
 {
     sample(name, help, "counter", number, labels);
 }
 
-void MetricsText::gauge(std::string_view name, std::string_view help, double number, std::string_view labels)
+void PrometheusWriter::gauge(std::string_view name, std::string_view help, double number, std::string_view labels)
 {
     sample(name, help, "gauge", number, labels);
 }
 
-void MetricsText::histogram(std::string_view name, std::string_view help, const LatencyHistogram &histogram)
+void PrometheusWriter::histogram(std::string_view name, std::string_view help, const LatencyHistogram &histogram)
 {
     m_text << "# HELP " << name << ' ' << help << "\n# TYPE " << name << " histogram\n";
     histogram.forEachBin([&](double upper, double below) {
@@ -70,7 +70,7 @@
     m_text << name << "_count " << histogram.count() << '\n';
 }
 
-void MetricsText::sample(std::string_view name, std::string_view help, std::string_view type, double number, std::string_view labels)
+void PrometheusWriter::sample(std::string_view name, std::string_view help, std::string_view type, double number, std::string_view labels)
 {
     if (m_lastName != name) {
         m_text << "# HELP " << name << ' ' << help << "\n# TYPE " << name << ' ' << type << '\n';
@@ -83,7 +83,7 @@
     m_text << ' ' << number << '\n';
 }
 
-std::string MetricsText::text() const
+std::string PrometheusWriter::text() const
 {
     return m_text.str();
 }
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -48,7 +48,7 @@
 };
 
 // Writes metrics in the Prometheus text exposition format, version 0.0.4.
-class MetricsText
+class PrometheusWriter
 {
 public:
     void counter(std::string_view name, std::string_view help, double number, std::string_view labels = {});
--- a/src/node_links.cpp
+++ b/src/node_links.cpp
@@ -301,7 +301,7 @@
     m_traffic.log();
 }
 
-void NodeLinks::describe(MetricsText &text) const
+void NodeLinks::describe(PrometheusWriter &text) const
 {
     text.gauge("robinrail_links", "Links to other nodes", static_cast<double>(m_links.size()));
     text.counter("robinrail_links_refused_total", "Links closed as one too many, or for a message that can't be read", static_cast<double>(m_refused));
--- a/src/node_links.h
+++ b/src/node_links.h
@@ -70,7 +70,7 @@
     std::vector<LinkHandle> dialled() const;
 
     // Figures of links and of what passed over them.
-    void describe(MetricsText &text) const;
+    void describe(PrometheusWriter &text) const;
 
     // Writes a line on what passed over the links, as when the node stops.
     void logTraffic() const;
--- a/src/replica_members.cpp
+++ b/src/replica_members.cpp
@@ -149,7 +149,7 @@
 }
 
 // What tells a member that lags from one that is not reached.
-void ReplicaNode::describeConsensus(MetricsText &text) const
+void ReplicaNode::describeConsensus(PrometheusWriter &text) const
 {
     const bool leads = m_driver && raft().role() == RaftRole::Leader;
     text.gauge("robinrail_replica_leader", "1 if this replica leads", leads ? 1 : 0);
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -446,7 +446,7 @@
 
 std::string ReplicaNode::metricsText() const
 {
-    MetricsText text;
+    PrometheusWriter text;
     describeConsensus(text);
     text.gauge("robinrail_routing_version", "Version of the routing document in force", static_cast<double>(document().table.version));
     text.gauge("robinrail_drained_data_centres", "Data centres that get no new flows", static_cast<double>(drains().drained().size()));
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -109,7 +109,7 @@
     void sendRaft(const RaftSend &send);
     LinkHandle linkFor(ReplicaId replica);
     void watchLag(TimePoint now);
-    void describeConsensus(MetricsText &text) const;
+    void describeConsensus(PrometheusWriter &text) const;
     void answer(const Driver::Core::Reply &reply);
     void rejoin(TimePoint now);
     void beat(TimePoint now);
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -407,7 +407,7 @@
 
 std::string SteeringNode::metricsText() const
 {
-    MetricsText text;
+    PrometheusWriter text;
     text.gauge("robinrail_steering_ready", "1 if the fabric may send packets here", m_ready ? 1 : 0);
     text.gauge("robinrail_routing_version", "Version of the routing table in force", static_cast<double>(m_steering.version()));
     text.gauge("robinrail_drain_revision", "Revision of the drained data centres in force", static_cast<double>(m_drainRevision));
--- a/tests/test_link_traffic.cpp
+++ b/tests/test_link_traffic.cpp
@@ -35,7 +35,7 @@
     CHECK(traffic.bytes(LinkDirection::Received, LinkDistance::Near) == 0);
     CHECK(traffic.bytes(LinkDirection::Received, LinkDistance::Far) == ping.size());
 
-    MetricsText text;
+    PrometheusWriter text;
     traffic.describe(text);
     const std::string figures = text.text();
     const auto has = [&figures](const std::string &line) {
