--- a/src/balancer_api.cpp
+++ b/src/balancer_api.cpp
@@ -19,15 +19,15 @@
 
 } // namespace
 
-void BalancerDaemon::observe(const Event &event)
+void BalancerDaemon::recordEvent(const Event &event)
 {
     m_events.push_back(event);
-    ++m_lastEvent;
-    if (m_events.size() > MaxKeptEvents) {
+    ++m_lastEventNumber;
+    if (m_events.size() > MaxRetainedEvents) {
         m_events.pop_front();
     }
     if (event.kind == EventKind::RequestAnswered) {
-        m_latency.record(event.took);
+        m_attemptLatency.record(event.took);
     }
     const bool rare = event.kind >= EventKind::TargetJoined && event.kind != EventKind::PacketRejected;
     LogLine line(rare ? LogLevel::Info : LogLevel::Debug, nameOf(event.kind));
@@ -59,7 +59,7 @@
     if (request.path == "/metrics") {
         return respond(metrics());
     }
-    if (request.token != m_file.adminToken) {
+    if (request.token != m_settings.adminToken) {
         return respond(errorReply(HttpUnauthorized, "unauthorized", "send the admin token as a bearer token"));
     }
     if (request.method == "POST" && request.path == "/v1/drain") {
@@ -68,10 +68,10 @@
     if (request.method == "POST" && request.path == "/v1/test/drop" && m_testFaults) {
         return respond(setTestFaults(request));
     }
-    respond(request.method == "GET" ? read(request) : errorReply(HttpNotFound, "not-found", request.path));
+    respond(request.method == "GET" ? handleGet(request) : errorReply(HttpNotFound, "not-found", request.path));
 }
 
-HttpReply BalancerDaemon::read(const HttpRequest &request)
+HttpReply BalancerDaemon::handleGet(const HttpRequest &request)
 {
     constexpr std::string_view FlowPrefix = "/v1/flows/";
     const TimePoint now = monotonicNow();
@@ -112,9 +112,9 @@
     for (std::size_t i = 0; i < counters.outcomes.size(); ++i) {
         outcomes[std::string(nameOf(static_cast<Outcome>(i)))] = counters.outcomes[i];
     }
-    return jsonReply({{"balancer", value(m_file.balancer)},
-                      {"incarnation", value(m_memory.incarnation)},
-                      {"dataCentre", m_file.dataCentre},
+    return jsonReply({{"balancer", value(m_settings.balancer)},
+                      {"incarnation", value(m_persisted.incarnation)},
+                      {"dataCentre", m_settings.dataCentre},
                       {"ready", m_core.ready()},
                       {"stopping", context.peers.stopping()},
                       {"version", m_rollout.version()},
@@ -136,7 +136,7 @@
     constexpr std::size_t MaxAtOnce = 1000;
     const std::uint64_t after = std::strtoull(queryValue(request.query, "after").c_str(), nullptr, 10);
     Json list = Json::array();
-    std::uint64_t number = m_lastEvent - m_events.size();
+    std::uint64_t number = m_lastEventNumber - m_events.size();
     for (const Event &event : m_events) {
         ++number;
         if (number > after && list.size() < MaxAtOnce) {
@@ -195,7 +195,7 @@
     const bool signedByOperator = std::any_of(m_rollout.operators().begin(), m_rollout.operators().end(), [&](const OperatorRecord &record) {
         return record.name == order->operatorName && !record.revoked && verify(signedBytes(*order), order->signature, record.key);
     });
-    if (!signedByOperator || drain.balancer != BalancerKey{m_file.balancer, m_memory.incarnation}) {
+    if (!signedByOperator || drain.balancer != BalancerKey{m_settings.balancer, m_persisted.incarnation}) {
         return errorReply(HttpForbidden, "not-permitted", "signature, operator or incarnation does not fit");
     }
     LogLine(LogLevel::Info, "drain-ordered").with("operator", order->operatorName).with("target", value(drain.target));
@@ -241,7 +241,7 @@
         const std::string label = "target=\"" + std::to_string(value(target.id())) + "\"";
         text.gauge("robinrail_target_running", "Attempts of this balancer on a target.", target.running, label);
     }
-    text.histogram("robinrail_attempt_seconds", "From an attempt to its whole answer.", m_latency);
+    text.histogram("robinrail_attempt_seconds", "From an attempt to its whole answer.", m_attemptLatency);
     return {200, "text/plain; version=0.0.4", text.text()};
 }
 
@@ -252,9 +252,9 @@
         return errorReply(HttpBadRequest, "malformed");
     }
     m_links.dropTraffic(PeerRole::Control, body.value("replicas", std::set<std::uint16_t>()));
-    m_droppedPeers.clear();
+    m_blockedPeers.clear();
     for (const std::uint16_t id : body.value("balancers", std::vector<std::uint16_t>())) {
-        m_droppedPeers.insert(BalancerId{id});
+        m_blockedPeers.insert(BalancerId{id});
     }
     return jsonReply({{"status", "ok"}});
 }
--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-constexpr const char *MemoryFile = "balancer";
-constexpr int SocketBuffer = 4 << 20;
+constexpr const char *StateFile = "balancer";
+constexpr int SocketBufferBytes = 4 << 20;
 
-BalancerSettings coreSettings(const BalancerDaemonSettings &file, Incarnation incarnation)
+BalancerSettings makeCoreSettings(const BalancerDaemonSettings &file, Incarnation incarnation)
 {
     BalancerSettings settings;
     settings.self = {file.balancer, incarnation};
@@ -32,47 +32,47 @@
     return settings;
 }
 
-bool isControl(const Message &message)
+bool isControlMessage(const Message &message)
 {
     return std::holds_alternative<Heartbeat>(message) || std::holds_alternative<HandoverFlows>(message) || std::holds_alternative<HandoverReceived>(message);
 }
 
 } // namespace
 
-leaf::result<BalancerMemory> openBalancerMemory(const std::filesystem::path &folder)
+leaf::result<PersistedBalancerState> startNewIncarnation(const std::filesystem::path &folder)
 {
     constexpr std::size_t ChecksumSize = 8;
     const auto wallClock = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch());
-    BalancerMemory memory;
+    PersistedBalancerState memory;
     if (!folder.empty()) {
         std::error_code ignored;
         std::filesystem::create_directories(folder, ignored);
-        BOOST_LEAF_AUTO(found, readFile(folder / MemoryFile));
+        BOOST_LEAF_AUTO(found, readFile(folder / StateFile));
         if (found && found->size() > ChecksumSize) {
-            const auto kept = decodeMessage<std::variant<BalancerMemory>>(*found);
-            memory = kept ? std::get<BalancerMemory>(*kept) : BalancerMemory{};
+            const auto kept = decodeMessage<std::variant<PersistedBalancerState>>(*found);
+            memory = kept ? std::get<PersistedBalancerState>(*kept) : PersistedBalancerState{};
         }
     }
     memory.incarnation = Incarnation{std::max<std::uint64_t>(value(memory.incarnation) + 1, static_cast<std::uint64_t>(wallClock.count()))};
     if (!folder.empty()) {
-        BOOST_LEAF_CHECK(replaceFile(folder / MemoryFile, encodeMessage(std::variant<BalancerMemory>(memory))));
+        BOOST_LEAF_CHECK(replaceFile(folder / StateFile, encodeMessage(std::variant<PersistedBalancerState>(memory))));
     }
     return memory;
 }
 
 BalancerDaemon::BalancerDaemon(
-    boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings file, BalancerMemory memory, bool testFaults)
+    boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings file, PersistedBalancerState memory, bool testFaults)
     : m_io(io)
     , m_settingsPath(std::move(settingsPath))
-    , m_file(std::move(file))
-    , m_memory(std::move(memory))
+    , m_settings(std::move(file))
+    , m_persisted(std::move(memory))
     , m_testFaults(testFaults)
-    , m_core(coreSettings(m_file, m_memory.incarnation))
-    , m_guard(m_file.clusterKey, {m_file.balancer, m_memory.incarnation})
+    , m_core(makeCoreSettings(m_settings, m_persisted.incarnation))
+    , m_guard(m_settings.clusterKey, {m_settings.balancer, m_persisted.incarnation})
     , m_links(io,
-              m_file.clusterKey,
+              m_settings.clusterKey,
               PeerRole::Balancer,
-              value(m_file.balancer),
+              value(m_settings.balancer),
               {[this](LinkHandle link, const Hello &peer) {
                    onEstablished(link, peer);
                },
@@ -87,41 +87,41 @@
     , m_timer(io)
     , m_signals(io, SIGINT, SIGTERM, SIGHUP)
 {
-    for (const PeerAddress &peer : m_file.peers) {
+    for (const PeerAddress &peer : m_settings.peers) {
         m_peerEndpoints[peer.endpoint] = peer.id;
     }
     m_core.context().observer = [this](const Event &event) {
-        observe(event);
+        recordEvent(event);
     };
 }
 
 bool BalancerDaemon::start()
 {
-    for (const ServiceListen &listen : m_file.services) {
+    for (const ServiceListen &listen : m_settings.services) {
         if (!bind(listen.endpoint, Port::Kind::Callers, listen.service)) {
             return false;
         }
     }
-    if (!bind(m_file.targetListen, Port::Kind::Targets, {}) || !bind(m_file.peerListen, Port::Kind::Peers, {})) {
+    if (!bind(m_settings.targetListen, Port::Kind::Targets, {}) || !bind(m_settings.peerListen, Port::Kind::Peers, {})) {
         return false;
     }
-    if (!m_http.listen(m_file.adminListen)) {
-        LogLine(LogLevel::Error, "bind-failed").with("address", toText(m_file.adminListen));
+    if (!m_http.listen(m_settings.adminListen)) {
+        LogLine(LogLevel::Error, "bind-failed").with("address", toText(m_settings.adminListen));
         return false;
     }
-    if (m_memory.bundleVersion > 0 && m_rollout.restore(m_memory.bundleVersion, m_memory.bundle)) {
+    if (m_persisted.bundleVersion > 0 && m_rollout.restore(m_persisted.bundleVersion, m_persisted.bundle)) {
         applyBundle();
     }
-    for (const Endpoint &control : m_file.control) {
+    for (const Endpoint &control : m_settings.control) {
         m_links.maintain(control);
     }
-    awaitSignal();
-    LogLine(LogLevel::Info, "started").with("balancer", value(m_file.balancer)).with("incarnation", value(m_memory.incarnation));
+    waitForSignal();
+    LogLine(LogLevel::Info, "started").with("balancer", value(m_settings.balancer)).with("incarnation", value(m_persisted.incarnation));
     tick();
     return true;
 }
 
-void BalancerDaemon::awaitSignal()
+void BalancerDaemon::waitForSignal()
 {
     m_signals.async_wait([this](const boost::system::error_code &error, int number) {
         if (error) {
@@ -132,14 +132,14 @@
         } else {
             stop();
         }
-        awaitSignal();
+        waitForSignal();
     });
 }
 
 void BalancerDaemon::stop()
 {
     LogLine(LogLevel::Info, "stopping").with("flows", m_core.context().flows.size());
-    m_core.stop(monotonicNow(), m_file.shutdownLinger);
+    m_core.stop(monotonicNow(), m_settings.shutdownLinger);
     flush();
 }
 
@@ -168,7 +168,7 @@
     auto port = std::make_unique<Port>(Port{Udp::socket(m_io), kind, std::move(service)});
     boost::system::error_code error;
     port->socket.open(Udp::v4(), error);
-    port->socket.set_option(boost::asio::socket_base::receive_buffer_size(SocketBuffer), error);
+    port->socket.set_option(boost::asio::socket_base::receive_buffer_size(SocketBufferBytes), error);
     port->socket.bind(toUdp(endpoint), error);
     if (error) {
         LogLine(LogLevel::Error, "bind-failed").with("address", toText(endpoint)).with("detail", error.message());
@@ -191,7 +191,7 @@
         }
         constexpr std::size_t ReceiveSize = 65536;
         std::vector<std::uint8_t> buffer(ReceiveSize);
-        for (int i = 0; i < MaxReadsPerTurn; ++i) {
+        for (int i = 0; i < MaxReadsPerWakeup; ++i) {
             Udp::endpoint from;
             boost::system::error_code error;
             const std::size_t size = port.socket.receive_from(boost::asio::buffer(buffer), from, 0, error);
@@ -212,7 +212,7 @@
     const TimePoint now = monotonicNow();
     BalancerContext &context = m_core.context();
     if (port.kind == Port::Kind::Peers) {
-        return takePeer(now, from, bytes);
+        return handlePeerDatagram(now, from, bytes);
     }
     if (bytes.size() > MaxDatagramSize) {
         return context.reject(now, RejectReason::Oversized);
@@ -231,13 +231,13 @@
     m_core.handleCaller(now, service->second, from, *message);
 }
 
-void BalancerDaemon::takePeer(TimePoint now, Endpoint from, BytesView bytes)
+void BalancerDaemon::handlePeerDatagram(TimePoint now, Endpoint from, BytesView bytes)
 {
     const std::optional<DatagramGuard::Opened> opened = m_guard.open(bytes);
     if (!opened) {
         return m_core.context().reject(now, RejectReason::UnknownSender);
     }
-    if (m_droppedPeers.contains(opened->sender.id)) {
+    if (m_blockedPeers.contains(opened->sender.id)) {
         return;
     }
     const std::optional<Message> message = decodeMessage<Message>(opened->payload);
@@ -253,11 +253,11 @@
         const Bytes bytes = encodeMessage(outgoing.message);
         const auto peer = m_peerEndpoints.find(outgoing.to);
         if (peer != m_peerEndpoints.end()) {
-            if (m_droppedPeers.contains(peer->second)) {
+            if (m_blockedPeers.contains(peer->second)) {
                 continue;
             }
             const Bytes sealed = m_guard.seal(bytes);
-            (isControl(outgoing.message) ? m_controlBytes : m_relayBytes) += sealed.size();
+            (isControlMessage(outgoing.message) ? m_controlBytes : m_relayBytes) += sealed.size();
             sendDatagram(m_peerPort->socket, outgoing.to, sealed);
             continue;
         }
@@ -303,23 +303,23 @@
 
 void BalancerDaemon::subscribe(LinkHandle link)
 {
-    m_links.send(link, Subscribe{{m_file.balancer, m_memory.incarnation}, m_rollout.version()});
+    m_links.send(link, Subscribe{{m_settings.balancer, m_persisted.incarnation}, m_rollout.version()});
 }
 
 void BalancerDaemon::onMessage(LinkHandle link, const LinkMessage &message)
 {
     if (const auto *offer = std::get_if<BundleOffer>(&message)) {
-        takeOffer(link, *offer);
+        handleBundleOffer(link, *offer);
     } else if (const auto *beat = std::get_if<ControlBeat>(&message)) {
         m_rollout.noteBeat(monotonicNow(), *beat);
     }
 }
 
-void BalancerDaemon::takeOffer(LinkHandle link, const BundleOffer &offer)
+void BalancerDaemon::handleBundleOffer(LinkHandle link, const BundleOffer &offer)
 {
     switch (m_rollout.take(offer)) {
     case OfferEffect::Applied:
-        if (!keep()) {
+        if (!persistBundle()) {
             LogLine(LogLevel::Error, "bundle-not-kept").with("version", offer.version);
         }
         applyBundle();
@@ -333,7 +333,7 @@
         return;
     }
     for (const LinkHandle control : m_links.links(PeerRole::Control)) {
-        m_links.send(control, VersionReport{{m_file.balancer, m_memory.incarnation}, m_rollout.version()});
+        m_links.send(control, VersionReport{{m_settings.balancer, m_persisted.incarnation}, m_rollout.version()});
     }
 }
 
@@ -347,16 +347,16 @@
     LogLine(LogLevel::Info, "bundle-applied").with("version", m_rollout.version()).with("services", m_rollout.bundle().services.size());
 }
 
-bool BalancerDaemon::keep()
+bool BalancerDaemon::persistBundle()
 {
-    if (m_file.dataFolder.empty()) {
+    if (m_settings.dataFolder.empty()) {
         return true;
     }
-    m_memory.bundleVersion = m_rollout.version();
-    m_memory.bundle = m_rollout.text();
+    m_persisted.bundleVersion = m_rollout.version();
+    m_persisted.bundle = m_rollout.text();
     return leaf::try_handle_all(
         [this]() -> leaf::result<bool> {
-            BOOST_LEAF_CHECK(replaceFile(m_file.dataFolder / MemoryFile, encodeMessage(std::variant<BalancerMemory>(m_memory))));
+            BOOST_LEAF_CHECK(replaceFile(m_settings.dataFolder / StateFile, encodeMessage(std::variant<PersistedBalancerState>(m_persisted))));
             return true;
         },
         [] {
--- a/src/balancer_daemon.h
+++ b/src/balancer_daemon.h
@@ -22,13 +22,13 @@
 namespace Robinrail {
 
 // Events that are kept for watchers.
-inline constexpr std::size_t MaxKeptEvents = 20'000;
+inline constexpr std::size_t MaxRetainedEvents = 20'000;
 
 // Datagrams that are read from one socket before other work has its turn.
-inline constexpr int MaxReadsPerTurn = 256;
+inline constexpr int MaxReadsPerWakeup = 256;
 
 // What a balancer keeps in its data folder.
-struct BalancerMemory {
+struct PersistedBalancerState {
     Incarnation incarnation{};
     std::uint64_t bundleVersion = 0;
     std::string bundle;
@@ -43,7 +43,8 @@
 {
 public:
     // `memory` is what was kept from the run before, with this run's incarnation.
-    BalancerDaemon(boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings file, BalancerMemory memory, bool testFaults);
+    BalancerDaemon(
+        boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings file, PersistedBalancerState memory, bool testFaults);
 
     // Binds and begins; false if an address can't be bound.
     bool start();
@@ -64,24 +65,24 @@
     bool bind(Endpoint endpoint, Port::Kind kind, std::string service);
     void receive(Port &port);
     void take(Port &port, Endpoint from, BytesView bytes);
-    void takePeer(TimePoint now, Endpoint from, BytesView bytes);
+    void handlePeerDatagram(TimePoint now, Endpoint from, BytesView bytes);
     void flush();
     void sendDatagram(boost::asio::ip::udp::socket &socket, Endpoint to, BytesView bytes);
     void tick();
     void stop();
     void reloadKeys();
-    void awaitSignal();
+    void waitForSignal();
 
     void onEstablished(LinkHandle link, const Hello &peer);
     void onMessage(LinkHandle link, const LinkMessage &message);
-    void takeOffer(LinkHandle link, const BundleOffer &offer);
+    void handleBundleOffer(LinkHandle link, const BundleOffer &offer);
     void applyBundle();
-    bool keep();
+    bool persistBundle();
     void subscribe(LinkHandle link);
 
-    void observe(const Event &event);
+    void recordEvent(const Event &event);
     void handleHttp(const HttpRequest &request, const HttpRespond &respond);
-    HttpReply read(const HttpRequest &request);
+    HttpReply handleGet(const HttpRequest &request);
     HttpReply drain(const HttpRequest &request);
     HttpReply explainFlow(std::string_view id);
     HttpReply events(const HttpRequest &request) const;
@@ -91,8 +92,8 @@
 
     boost::asio::io_context &m_io;
     std::filesystem::path m_settingsPath;
-    BalancerDaemonSettings m_file;
-    BalancerMemory m_memory;
+    BalancerDaemonSettings m_settings;
+    PersistedBalancerState m_persisted;
     bool m_testFaults;
     BalancerCore<DealtSlots> m_core;
     DatagramGuard m_guard;
@@ -107,15 +108,15 @@
     Port *m_callerPort = nullptr;
     std::map<std::string, ServiceId> m_serviceIds;
     std::map<Endpoint, BalancerId> m_peerEndpoints;
-    std::set<BalancerId> m_droppedPeers; // For tests of failures.
+    std::set<BalancerId> m_blockedPeers; // For tests of failures.
     std::deque<Event> m_events;
-    std::uint64_t m_lastEvent = 0;
-    LatencyHistogram m_latency;
+    std::uint64_t m_lastEventNumber = 0;
+    LatencyHistogram m_attemptLatency;
     std::uint64_t m_controlBytes = 0;
     std::uint64_t m_relayBytes = 0;
 };
 
 // Reads what the run before kept and takes a higher incarnation, synced before it is used.
-boost::leaf::result<BalancerMemory> openBalancerMemory(const std::filesystem::path &folder);
+boost::leaf::result<PersistedBalancerState> startNewIncarnation(const std::filesystem::path &folder);
 
 } // namespace Robinrail
--- a/src/main_balancer.cpp
+++ b/src/main_balancer.cpp
@@ -41,7 +41,7 @@
         return 0;
     }
     configureLog(file.log);
-    BOOST_LEAF_AUTO(memory, openBalancerMemory(file.dataFolder));
+    BOOST_LEAF_AUTO(memory, startNewIncarnation(file.dataFolder));
     boost::asio::io_context io;
     BalancerDaemon daemon(io, path, std::move(file), std::move(memory), testFaults);
     if (!daemon.start()) {
