--- a/fuzz/fuzz_platform.cpp
+++ b/fuzz/fuzz_platform.cpp
@@ -15,10 +15,10 @@
     const BytesView bytes(data, size);
     const std::string_view text(reinterpret_cast<const char *>(data), size);
     std::string reason;
-    Platform::PacketHeadCodec::decode(bytes);
-    Platform::readDocument(text, reason);
-    Platform::readAnnouncement(TargetKey{1}, text, SteeringSettings{}, reason);
-    Platform::readTargetId(text);
+    Platform::PacketHeaderCodec::decode(bytes);
+    Platform::parseRoutingDocument(text, reason);
+    Platform::parseAnnouncement(TargetKey{1}, text, SteeringSettings{}, reason);
+    Platform::parseTargetId(text);
     decodeMessage<NodeMessage>(bytes);
     decodeNotes(bytes);
     return 0;
--- a/soak/operator_desk.cpp
+++ b/soak/operator_desk.cpp
@@ -67,7 +67,7 @@
 {
     m_changingRoute = withChangingRoute;
     m_version += 1 + pick(m_random, 3);
-    m_sent[m_version] = Platform::writeDocument(tableOf(m_version));
+    m_sent[m_version] = Platform::serializeRoutingDocument(tableOf(m_version));
     if (withChangingRoute) {
         m_withRoute.insert(m_version);
     }
@@ -79,11 +79,11 @@
 void OperatorDesk::drawBad(TimePoint now)
 {
     RoutingTable table = tableOf(m_version + 1);
-    std::string text = Platform::writeDocument(table);
+    std::string text = Platform::serializeRoutingDocument(table);
     switch (pick(m_random, 3)) {
     case 0:
         table.routes.push_back(table.routes.front());
-        text = Platform::writeDocument(table);
+        text = Platform::serializeRoutingDocument(table);
         break;
     case 1:
         text.replace(text.rfind("\"services\""), 10, "\"nothing\"");
--- a/soak/target_fleet.cpp
+++ b/soak/target_fleet.cpp
@@ -161,7 +161,7 @@
     ++target.record.sequence;
     const Endpoint replica{m_plan.replica(target.replica), Plan::ControlPort};
     const std::string &dataCentre = DataCentres[value(target.record.dataCentre) - 1];
-    const HttpRequest request{"PUT", Platform::targetPath(target.record.key), {}, {}, Platform::writeAnnouncement(target.record, dataCentre)};
+    const HttpRequest request{"PUT", Platform::targetPath(target.record.key), {}, {}, Platform::serializeAnnouncement(target.record, dataCentre)};
     const TargetPhase phase = target.record.phase;
     startHttpCall(m_io,
                   replica,
@@ -215,7 +215,7 @@
 {
     const TimePoint now = monotonicNow();
     Place &place = m_places[index];
-    const std::optional<Platform::AddressedPacket> addressed = Platform::readAddressed(datagram);
+    const std::optional<Platform::AddressedPacket> addressed = Platform::decodeAddressedPacket(datagram);
     const std::optional<WirePacket> packet = addressed ? Platform::readPacket(addressed->packet) : std::nullopt;
     if (!packet) {
         m_promises.broken("packets stay whole", "unreadable packet at " + toText({m_plan.target(index), Plan::TargetPort}));
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -37,7 +37,7 @@
 bool valid(const std::string &text)
 {
     std::string reason;
-    const bool read = readDocument(text, reason).has_value();
+    const bool read = parseRoutingDocument(text, reason).has_value();
     CHECK(read == reason.empty());
     return read;
 }
@@ -53,41 +53,41 @@
 
 TEST_CASE("a packet head is read and a reset is written byte for byte")
 {
-    const std::optional<FlowPacket> packet = PacketHeadCodec::decode(Opening);
+    const std::optional<FlowPacket> packet = PacketHeaderCodec::decode(Opening);
     REQUIRE(packet);
     CHECK(packet->caller == Endpoint{0x64400007, 40001});
     CHECK(packet->route == Endpoint{0xc6120001, 443});
     CHECK(packet->sequence == 0x11223344);
     CHECK(packet->opening);
     CHECK(packet->copy == 0);
-    Bytes reset(PacketHeadCodec::MaxPacket);
-    CHECK(PacketHeadCodec::writeReset(reset, *packet, 0) == PacketHeadCodec::HeadSize);
-    reset.resize(PacketHeadCodec::HeadSize);
+    Bytes reset(PacketHeaderCodec::MaxPacket);
+    CHECK(PacketHeaderCodec::writeReset(reset, *packet, 0) == PacketHeaderCodec::HeadSize);
+    reset.resize(PacketHeaderCodec::HeadSize);
     CHECK(reset == ResetOfOpening);
 }
 
 TEST_CASE("only the token changes in a packet that is passed on")
 {
     Bytes packet = Opening;
-    PacketHeadCodec::writeToken(packet, FlowToken{0xa1b2c3d4});
-    CHECK(PacketHeadCodec::decode(packet)->token == FlowToken{0xa1b2c3d4});
-    PacketHeadCodec::writeToken(packet, FlowToken{0});
+    PacketHeaderCodec::writeToken(packet, FlowToken{0xa1b2c3d4});
+    CHECK(PacketHeaderCodec::decode(packet)->token == FlowToken{0xa1b2c3d4});
+    PacketHeaderCodec::writeToken(packet, FlowToken{0});
     CHECK(packet == Opening);
-    Bytes prefix(PacketHeadCodec::PrefixSize);
-    PacketHeadCodec::writePrefix(prefix, TargetKey{0x7f3a91c2});
+    Bytes prefix(PacketHeaderCodec::PrefixSize);
+    PacketHeaderCodec::writePrefix(prefix, TargetKey{0x7f3a91c2});
     CHECK(prefix == fromHexText("00 00 00 00 7f 3a 91 c2"));
 }
 
 TEST_CASE("packets that are cut short or whose length is wrong are not read")
 {
     for (std::size_t size = 0; size < Opening.size(); ++size) {
-        CHECK_FALSE(PacketHeadCodec::decode(BytesView(Opening).first(size)));
+        CHECK_FALSE(PacketHeaderCodec::decode(BytesView(Opening).first(size)));
     }
     Bytes longer = Opening;
     longer.push_back(1);
-    CHECK_FALSE(PacketHeadCodec::decode(longer));
+    CHECK_FALSE(PacketHeaderCodec::decode(longer));
     CHECK(rc::check("any bytes", [](const Bytes &bytes) {
-        PacketHeadCodec::decode(bytes);
+        PacketHeaderCodec::decode(bytes);
     }));
 }
 
@@ -96,7 +96,7 @@
     const std::string text = documentWith(routeWith(R"(, "service": "b", "timeout_ms": 20)") + ","
                                           + routeWith(R"(, "backends": [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}])", "/8443/"));
     std::string reason;
-    const std::optional<RoutingDocument> document = readDocument(text, reason);
+    const std::optional<RoutingDocument> document = parseRoutingDocument(text, reason);
     REQUIRE(document);
     CHECK(document->text == text);
     CHECK(document->table.version == 7);
@@ -125,7 +125,7 @@
     CHECK_FALSE(valid(R"({"version": 7, "services": []})"));
     CHECK(rc::check("any text", [](const std::string &text) {
         std::string reason;
-        readDocument(text, reason);
+        parseRoutingDocument(text, reason);
     }));
 }
 
@@ -134,26 +134,26 @@
     const std::string sound =
         R"({"service":"a","address":"10.0.0.9:80","zone":"thamel","version":"v1","capacity":2,"state":"draining","warmup_left_ms":250,"sequence":4})";
     std::string reason;
-    const std::optional<TargetRecord> record = readAnnouncement(TargetKey{5}, sound, settingsOf(), reason);
+    const std::optional<TargetRecord> record = parseAnnouncement(TargetKey{5}, sound, settingsOf(), reason);
     REQUIRE(record);
     CHECK(record->address == Endpoint{0x0a000009, 80});
     CHECK(record->dataCentre == DataCentreId{2});
     CHECK(record->phase == TargetPhase::Draining);
     CHECK(record->warmupLeft == std::chrono::milliseconds(250));
     for (const char *broken : {"", "{}", R"({"service":"a"})", "[1]"}) {
-        CHECK_FALSE(readAnnouncement(TargetKey{5}, broken, settingsOf(), reason));
+        CHECK_FALSE(parseAnnouncement(TargetKey{5}, broken, settingsOf(), reason));
     }
-    CHECK(readTargetId("i-7f3a91c2") == TargetKey{0x7f3a91c2});
-    CHECK_FALSE(readTargetId("i-"));
-    CHECK_FALSE(readTargetId("i-xyz"));
-    CHECK_FALSE(readTargetId("i-0"));
+    CHECK(parseTargetId("i-7f3a91c2") == TargetKey{0x7f3a91c2});
+    CHECK_FALSE(parseTargetId("i-"));
+    CHECK_FALSE(parseTargetId("i-xyz"));
+    CHECK_FALSE(parseTargetId("i-0"));
 }
 
 TEST_CASE("how targets warm up is read; a rate of 0 gives no limit")
 {
     const auto warmupOf = [](const std::string &members) {
         std::string reason;
-        const auto document = readDocument(R"({"version": 7, "routes": [], "services": [{"name": "a")" + members + "}]}", reason);
+        const auto document = parseRoutingDocument(R"({"version": 7, "routes": [], "services": [{"name": "a")" + members + "}]}", reason);
         return document ? std::optional(document->table.warmupOf(0)) : std::nullopt;
     };
     CHECK(warmupOf("") == ServiceWarmup{});
@@ -168,7 +168,7 @@
 {
     const auto bornOf = [](const std::string &member) {
         std::string reason;
-        const auto record = readAnnouncement(
+        const auto record = parseAnnouncement(
             TargetKey{5},
             R"({"service":"a","address":"10.0.0.9:80","zone":"thamel","capacity":2,"state":"ready","warmup_left_ms":99999999999999,"sequence":4)" + member
                 + "}",
@@ -183,9 +183,9 @@
         CHECK_FALSE(bornOf(foreign));
     }
     std::string reason;
-    CHECK(readDeparture("", reason) == 0);
-    CHECK(readDeparture(R"({"born":7})", reason) == 7);
-    CHECK(readDeparture("{}", reason) == 0);
-    CHECK_FALSE(readDeparture(R"({"born":"7"})", reason));
-    CHECK_FALSE(readDeparture("\xff{", reason));
+    CHECK(parseDeregistration("", reason) == 0);
+    CHECK(parseDeregistration(R"({"born":7})", reason) == 7);
+    CHECK(parseDeregistration("{}", reason) == 0);
+    CHECK_FALSE(parseDeregistration(R"({"born":"7"})", reason));
+    CHECK_FALSE(parseDeregistration("\xff{", reason));
 }
--- a/tests/test_soak.cpp
+++ b/tests/test_soak.cpp
@@ -70,7 +70,7 @@
     const Bytes data = {1, 2, 3};
     const Platform::WirePacket sent{{0x7f5a0401, 2000}, FirstRoute, FlowToken{9}, 100, 200, false, true, true, false, data};
     const Bytes bytes = Platform::writePacket(sent);
-    const std::optional<FlowPacket> read = Platform::PacketHeadCodec::decode(bytes);
+    const std::optional<FlowPacket> read = Platform::PacketHeaderCodec::decode(bytes);
     REQUIRE(read);
     CHECK(read->caller == sent.from);
     CHECK(read->route == sent.to);
@@ -90,7 +90,7 @@
 {
     std::string reason;
     const RoutingTable table = changingTable();
-    const std::optional<RoutingDocument> document = Platform::readDocument(Platform::writeDocument(table), reason);
+    const std::optional<RoutingDocument> document = Platform::parseRoutingDocument(Platform::serializeRoutingDocument(table), reason);
     REQUIRE_MESSAGE(document, reason);
     CHECK(document->table == table);
     SteeringSettings settings;
@@ -104,8 +104,8 @@
     record.phase = TargetPhase::Draining;
     record.sequence = 5;
     const std::string path = Platform::targetPath(record.key);
-    CHECK(Platform::readTargetId(path.substr(path.rfind('/') + 1)) == record.key);
-    const auto read = Platform::readAnnouncement(record.key, Platform::writeAnnouncement(record, DataCentres[1]), settings, reason);
+    CHECK(Platform::parseTargetId(path.substr(path.rfind('/') + 1)) == record.key);
+    const auto read = Platform::parseAnnouncement(record.key, Platform::serializeAnnouncement(record, DataCentres[1]), settings, reason);
     REQUIRE_MESSAGE(read, reason);
     CHECK_FALSE(read->differs(record));
     CHECK(read->dataCentre == record.dataCentre);
