--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -61,8 +61,8 @@
     CHECK(packet->opening);
     CHECK(packet->copy == 0);
     Bytes reset(PacketHeaderCodec::MaxPacket);
-    CHECK(PacketHeaderCodec::writeReset(reset, *packet, 0) == PacketHeaderCodec::HeadSize);
-    reset.resize(PacketHeaderCodec::HeadSize);
+    CHECK(PacketHeaderCodec::writeReset(reset, *packet, 0) == PacketHeaderCodec::HeaderSize);
+    reset.resize(PacketHeaderCodec::HeaderSize);
     CHECK(reset == ResetOfOpening);
 }
 
