--- a/soak/caller_crowd.cpp
+++ b/soak/caller_crowd.cpp
@@ -59,7 +59,7 @@
 
 void CallerCrowd::send(TimePoint now, const Caller &caller, const WirePacket &packet)
 {
-    m_fabric.send(now, caller.flow.caller.port, Platform::writePacket(packet));
+    m_fabric.send(now, caller.flow.caller.port, Platform::encodePacket(packet));
 }
 
 void CallerCrowd::beginFlow(TimePoint now, Caller &caller)
@@ -97,7 +97,7 @@
     const std::string text = writeRequest(*caller.request);
     const Bytes data(text.begin(), text.end());
     caller.unacknowledged =
-        Platform::writePacket({caller.flow.caller, caller.flow.route, caller.token, caller.next, caller.expected, false, true, false, false, data});
+        Platform::encodePacket({caller.flow.caller, caller.flow.route, caller.token, caller.next, caller.expected, false, true, false, false, data});
     caller.next += static_cast<std::uint32_t>(data.size());
     m_fabric.send(now, caller.flow.caller.port, caller.unacknowledged);
 }
@@ -112,7 +112,7 @@
 void CallerCrowd::receive(BytesView datagram, Endpoint from)
 {
     const TimePoint now = monotonicNow();
-    const std::optional<WirePacket> packet = Platform::readPacket(datagram);
+    const std::optional<WirePacket> packet = Platform::decodePacket(datagram);
     if (!packet) {
         return m_promises.broken("packets stay whole", "unreadable packet at a caller from " + toText(from));
     }
--- a/soak/target_fleet.cpp
+++ b/soak/target_fleet.cpp
@@ -216,7 +216,7 @@
     const TimePoint now = monotonicNow();
     Place &place = m_places[index];
     const std::optional<Platform::AddressedPacket> addressed = Platform::decodeAddressedPacket(datagram);
-    const std::optional<WirePacket> packet = addressed ? Platform::readPacket(addressed->packet) : std::nullopt;
+    const std::optional<WirePacket> packet = addressed ? Platform::decodePacket(addressed->packet) : std::nullopt;
     if (!packet) {
         m_promises.broken("packets stay whole", "unreadable packet at " + toText({m_plan.target(index), Plan::TargetPort}));
         return;
@@ -347,7 +347,7 @@
 
 void TargetFleet::reply(Place &place, const WirePacket &packet)
 {
-    place.socket->send({packet.to.address, Plan::PacketPort}, BytesView(Platform::writePacket(packet)));
+    place.socket->send({packet.to.address, Plan::PacketPort}, BytesView(Platform::encodePacket(packet)));
 }
 
 // ---- Questions of the callers ----
--- a/tests/test_soak.cpp
+++ b/tests/test_soak.cpp
@@ -69,7 +69,7 @@
 {
     const Bytes data = {1, 2, 3};
     const Platform::WirePacket sent{{0x7f5a0401, 2000}, FirstRoute, FlowToken{9}, 100, 200, false, true, true, false, data};
-    const Bytes bytes = Platform::writePacket(sent);
+    const Bytes bytes = Platform::encodePacket(sent);
     const std::optional<FlowPacket> read = Platform::PacketHeaderCodec::decode(bytes);
     REQUIRE(read);
     CHECK(read->caller == sent.from);
@@ -80,10 +80,10 @@
     CHECK(read->dataBytes == data.size());
     CHECK(read->closing);
     CHECK_FALSE(read->opening);
-    const std::optional<Platform::WirePacket> back = Platform::readPacket(bytes);
+    const std::optional<Platform::WirePacket> back = Platform::decodePacket(bytes);
     REQUIRE(back);
     CHECK(std::equal(back->data.begin(), back->data.end(), data.begin(), data.end()));
-    CHECK_FALSE(Platform::readPacket(BytesView(bytes).first(bytes.size() - 1)));
+    CHECK_FALSE(Platform::decodePacket(BytesView(bytes).first(bytes.size() - 1)));
 }
 
 TEST_CASE("what stand-in operators and targets write is what a replica reads")
