--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Settings: schema check first, then the checks that a schema can't express.
+// Settings: a file is validated against its schema, then against the rules that a schema can't express.
 #include "settings.h"
 
 #include "durable_file.h"
@@ -45,11 +45,11 @@
     return *document;
 }
 
-// Reads values out of a checked document and keeps the first fault.
-class Reader
+// Extracts values from a document that matches its schema, and keeps the first error.
+class SettingsReader
 {
 public:
-    explicit Reader(const Json &document)
+    explicit SettingsReader(const Json &document)
         : m_document(document)
     {
     }
@@ -73,7 +73,7 @@
     {
         std::array<std::uint8_t, N> bytes{};
         if (!fromHex(at(pointer).get<std::string>(), bytes)) {
-            fail(pointer, "a text that is not a key", std::to_string(N * 2) + " hexadecimal digits");
+            fail(pointer, "a string that is not a key", std::to_string(N * 2) + " hexadecimal digits");
         }
         return bytes;
     }
@@ -95,12 +95,12 @@
     std::optional<JsonFault> m_fault;
 };
 
-std::string indexed(const char *list, std::size_t index, const char *key)
+std::string elementPointer(const char *list, std::size_t index, const char *key)
 {
     return std::string(list) + "/" + std::to_string(index) + "/" + key;
 }
 
-LogSettings readLog(const Json &document)
+LogSettings readLogSettings(const Json &document)
 {
     LogSettings log;
     if (!document.contains("log")) {
@@ -112,7 +112,7 @@
     return log;
 }
 
-void readDataCentre(Reader &reader, BalancerDaemonSettings &file)
+void readDataCentre(SettingsReader &reader, BalancerDaemonSettings &file)
 {
     const auto declared = reader.at("/dataCentres").get<std::vector<std::string>>();
     file.dataCentre = reader.at("/dataCentre").get<std::string>();
@@ -123,29 +123,29 @@
     file.dataCentreId = DataCentreId{static_cast<std::uint8_t>(at - declared.begin() + 1)};
 }
 
-void readPeers(Reader &reader, BalancerDaemonSettings &file)
+void readPeers(SettingsReader &reader, BalancerDaemonSettings &file)
 {
     std::set<BalancerId> seen;
     for (std::size_t i = 0; i < reader.at("/peers").size(); ++i) {
         PeerAddress peer;
-        peer.id = BalancerId{reader.at(indexed("/peers", i, "balancer")).get<std::uint16_t>()};
-        peer.endpoint = reader.endpoint(indexed("/peers", i, "address"));
+        peer.id = BalancerId{reader.at(elementPointer("/peers", i, "balancer")).get<std::uint16_t>()};
+        peer.endpoint = reader.endpoint(elementPointer("/peers", i, "address"));
         if (!seen.insert(peer.id).second) {
-            reader.fail(indexed("/peers", i, "balancer"), std::to_string(value(peer.id)) + " twice", "each balancer once");
+            reader.fail(elementPointer("/peers", i, "balancer"), std::to_string(value(peer.id)) + " twice", "each balancer once");
         }
         file.peers.push_back(peer);
     }
 }
 
-void readConnectionIdKeys(Reader &reader, BalancerDaemonSettings &file)
+void readConnectionIdKeys(SettingsReader &reader, BalancerDaemonSettings &file)
 {
     std::set<std::uint8_t> seen;
     for (std::size_t i = 0; i < reader.at("/keys/connectionIds").size(); ++i) {
         VersionedMacKey key;
-        key.version = reader.at(indexed("/keys/connectionIds", i, "version")).get<std::uint8_t>();
-        key.key = reader.key<16>(indexed("/keys/connectionIds", i, "key"));
+        key.version = reader.at(elementPointer("/keys/connectionIds", i, "version")).get<std::uint8_t>();
+        key.key = reader.key<16>(elementPointer("/keys/connectionIds", i, "key"));
         if (!seen.insert(key.version).second) {
-            reader.fail(indexed("/keys/connectionIds", i, "version"), std::to_string(key.version) + " twice", "each key version once");
+            reader.fail(elementPointer("/keys/connectionIds", i, "version"), std::to_string(key.version) + " twice", "each key version once");
         }
         file.connectionIdKeys.push_back(key);
     }
@@ -161,12 +161,13 @@
 leaf::result<BalancerDaemonSettings> loadBalancerSettings(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, balancerSettingsSchema()));
-    Reader reader(document);
+    SettingsReader reader(document);
     BalancerDaemonSettings file;
     file.balancer = BalancerId{reader.at("/balancer").get<std::uint16_t>()};
     readDataCentre(reader, file);
     for (std::size_t i = 0; i < reader.at("/services").size(); ++i) {
-        file.services.push_back({reader.at(indexed("/services", i, "name")).get<std::string>(), reader.endpoint(indexed("/services", i, "listen"))});
+        file.services.push_back(
+            {reader.at(elementPointer("/services", i, "name")).get<std::string>(), reader.endpoint(elementPointer("/services", i, "listen"))});
     }
     file.peerListen = reader.endpoint("/listen/peers");
     file.targetListen = reader.endpoint("/listen/targets");
@@ -180,7 +181,7 @@
     file.adminToken = reader.at("/adminToken").get<std::string>();
     file.dataFolder = document.value("dataFolder", "");
     file.shutdownLinger = std::chrono::milliseconds(document.value("lingerMs", 8000));
-    file.log = readLog(document);
+    file.log = readLogSettings(document);
     if (reader.fault()) {
         return invalid(path, *reader.fault());
     }
@@ -190,21 +191,21 @@
 leaf::result<ControlDaemonSettings> loadControlSettings(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, controlSettingsSchema()));
-    Reader reader(document);
+    SettingsReader reader(document);
     ControlDaemonSettings file;
     file.replica = ReplicaId{reader.at("/replica").get<std::uint16_t>()};
     file.listen = reader.endpoint("/listen/links");
     file.adminListen = reader.endpoint("/listen/admin");
-    bool selfListed = false;
+    bool listsItself = false;
     for (std::size_t i = 0; i < reader.at("/replicas").size(); ++i) {
         ReplicaAddress address;
-        address.id = ReplicaId{reader.at(indexed("/replicas", i, "replica")).get<std::uint16_t>()};
-        address.endpoint = reader.endpoint(indexed("/replicas", i, "links"));
-        address.admin = reader.endpoint(indexed("/replicas", i, "admin"));
-        selfListed = selfListed || address.id == file.replica;
+        address.id = ReplicaId{reader.at(elementPointer("/replicas", i, "replica")).get<std::uint16_t>()};
+        address.endpoint = reader.endpoint(elementPointer("/replicas", i, "links"));
+        address.admin = reader.endpoint(elementPointer("/replicas", i, "admin"));
+        listsItself = listsItself || address.id == file.replica;
         file.replicas.push_back(address);
     }
-    if (!selfListed) {
+    if (!listsItself) {
         reader.fail("/replica", std::to_string(value(file.replica)), "one of the replicas in /replicas");
     }
     file.clusterKey = reader.key<32>("/keys/cluster");
@@ -212,13 +213,13 @@
     file.dataFolder = reader.at("/dataFolder").get<std::string>();
     for (std::size_t i = 0; i < reader.at("/firstOperators").size(); ++i) {
         OperatorRecord record;
-        record.name = reader.at(indexed("/firstOperators", i, "name")).get<std::string>();
-        record.key = reader.key<32>(indexed("/firstOperators", i, "key"));
-        const bool administrator = reader.at(indexed("/firstOperators", i, "role")).get<std::string>() == "administrator";
+        record.name = reader.at(elementPointer("/firstOperators", i, "name")).get<std::string>();
+        record.key = reader.key<32>(elementPointer("/firstOperators", i, "key"));
+        const bool administrator = reader.at(elementPointer("/firstOperators", i, "role")).get<std::string>() == "administrator";
         record.role = administrator ? OperatorRole::Administrator : OperatorRole::Author;
         file.firstOperators.push_back(record);
     }
-    file.log = readLog(document);
+    file.log = readLogSettings(document);
     if (reader.fault()) {
         return invalid(path, *reader.fault());
     }
@@ -239,7 +240,7 @@
 leaf::result<SteeringSettings> loadSteeringSettings(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, steeringSettingsSchema()));
-    Reader reader(document);
+    SettingsReader reader(document);
     SteeringSettings file;
     file.node = reader.at("/node").get<std::string>();
     file.dataCentre = reader.at("/dataCentre").get<std::string>();
@@ -264,7 +265,7 @@
     file.drainTimeout = std::chrono::milliseconds(reader.at("/drainMs").get<std::int64_t>());
     file.stopGracePeriod = std::chrono::milliseconds(reader.at("/graceMs").get<std::int64_t>());
     file.dataFolder = document.value("dataFolder", "");
-    file.log = readLog(document);
+    file.log = readLogSettings(document);
     if (reader.fault()) {
         return invalid(path, *reader.fault());
     }
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Settings: the checked JSON files of the two daemons.
+// Settings: the JSON settings files of the daemons, validated on load.
 #pragma once
 
 #include "balancer_context.h"
@@ -22,7 +22,7 @@
     Invalid,
 };
 
-// Which file, and what is wrong in it.
+// The rejected file and the first error in it.
 struct SettingsFault {
     std::string file;
     JsonFault fault;
@@ -48,7 +48,7 @@
     ClusterKey clusterKey{};
     std::vector<VersionedMacKey> connectionIdKeys; // Newest first.
     std::string adminToken;
-    std::filesystem::path dataFolder; // Empty: nothing is kept.
+    std::filesystem::path dataFolder; // Empty: nothing is stored.
     Duration shutdownLinger = std::chrono::seconds(8);
     LogSettings log;
 };
@@ -71,26 +71,26 @@
     LogSettings log;
 };
 
-// Settings of a steering balancer or of a routing replica; each is told a few addresses and finds the rest.
+// Settings of a steering balancer or routing replica. It knows a few replicas by address (the seeds) and discovers the others.
 struct SteeringSettings {
     std::string node;
     std::string dataCentre;
-    std::vector<std::string> dataCentres; // Sorted, so that every node numbers them alike.
+    std::vector<std::string> dataCentres; // Sorted, so that all nodes assign the same numbers.
     Endpoint adminListen;
-    Endpoint packetListen; // Port 0: a replica, which takes no packets.
+    Endpoint packetListen; // Port 0: a replica, which receives no packets.
     std::vector<Endpoint> seeds; // Administration addresses of some replicas.
-    std::uint16_t linkPort = 0; // Where every replica is dialled for links.
-    std::uint16_t linkListenPort = 0; // Where this replica listens: another port if something forwards to it.
-    bool firstStart = false; // The whole system starts for the first time, with empty disks.
-    Duration announceInterval{}; // Targets announce themselves about this often.
-    std::size_t maxLostReplicas = 0; // Replicas that may be lost at once, disks and all.
-    std::size_t maxLostDataCentres = 0; // Data centres that may be lost at once, with all of their replicas.
-    Duration drainTimeout{}; // A draining target must get no new flow after this.
-    Duration stopGracePeriod{}; // From the request to stop to the kill.
-    std::filesystem::path dataFolder; // Of a replica.
+    std::uint16_t linkPort = 0; // Port to which links to any replica are opened.
+    std::uint16_t linkListenPort = 0; // Port on which this replica accepts links; differs from linkPort if a forwarder is in between.
+    bool firstStart = false; // Whether the whole system starts for the first time, with empty disks.
+    Duration announceInterval{}; // Approximate interval between the announcements of a target.
+    std::size_t maxLostReplicas = 0; // Replicas that may fail at the same time and lose their disks.
+    std::size_t maxLostDataCentres = 0; // Data centres that may fail at the same time, with all their replicas.
+    Duration drainTimeout{}; // Time after which a draining target must not get new flows.
+    Duration stopGracePeriod{}; // Time from the stop request until the process is killed.
+    std::filesystem::path dataFolder; // Used by replicas only.
     LogSettings log;
 
-    // What may be lost at once.
+    // The simultaneous failures that the deployment has to survive.
     LossTolerance lossTolerance() const;
 
     // Number of a data centre, from 1; 0 if it is not listed.
@@ -101,12 +101,13 @@
 boost::leaf::result<ControlDaemonSettings> loadControlSettings(const std::filesystem::path &path);
 boost::leaf::result<SteeringSettings> loadSteeringSettings(const std::filesystem::path &path);
 
-// "127.0.0.1:80", and back; empty if it is not an IPv4 address with a port.
+// Convert between an endpoint and text such as "127.0.0.1:80". The result of parseEndpoint is empty if the text is not an
+// IPv4 address with a port.
 std::optional<Endpoint> parseEndpoint(std::string_view text);
 std::string toText(Endpoint endpoint);
 std::string addressText(Endpoint endpoint);
 
-// A replica that is numbered by its address, by that address.
+// IPv4 address of a replica whose number is its address.
 std::string toText(ReplicaId replica);
 
 } // namespace Robinrail
--- a/src/types.h
+++ b/src/types.h
@@ -12,43 +12,43 @@
 
 namespace Robinrail {
 
-// A service of the bundle, as numbered by its operators.
+// Number of a service, assigned by the operators in the bundle.
 enum class ServiceId : std::uint16_t {};
 
-// A target, numbered by itself; unique within the whole deployment.
+// Number that a target assigns to itself; unique within the deployment.
 enum class TargetId : std::uint32_t {};
 
-// A balancer or control replica, numbered in its settings. A replica that is found by its address is
-// numbered by it, hence 32 bits.
+// Numbers of balancers and control replicas, taken from their settings. A replica that is discovered by its
+// IPv4 address uses the address as its number, hence 32 bits.
 enum class BalancerId : std::uint16_t {};
 enum class ReplicaId : std::uint32_t {};
 
-// One run of a process: a restart always takes a larger number.
+// Identifies one run of a process. Each restart gets a larger number.
 enum class Incarnation : std::uint64_t {};
 
-// A flow, numbered by the balancer that opened it.
+// Number of a flow, assigned by the balancer that opened it.
 enum class FlowId : std::uint64_t {};
 
-// A request within its flow, numbered upward by the caller from 1.
+// Number of a request within its flow, assigned by the caller in ascending order from 1.
 enum class RequestId : std::uint32_t {};
 
-// A data centre, numbered in the order in which the bundle declares them.
+// Number of a data centre, in the order in which the bundle declares them.
 enum class DataCentreId : std::uint8_t {};
 
-// The plain number inside an identifier, for hashing, printing and arithmetic.
+// Underlying integer of an identifier, for hashing, printing and arithmetic.
 template<typename Id>
 constexpr auto value(Id id)
 {
     return static_cast<std::underlying_type_t<Id>>(id);
 }
 
-// Time is always passed in; daemons take it from the monotonic clock, tests and
-// benchmarks from a virtual one. Microseconds are the unit throughout.
+// Functions get the current time as a parameter: daemons pass the monotonic clock, tests and
+// benchmarks a virtual one. All durations are in microseconds.
 using Duration = std::chrono::microseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-// A point in time in 4 bytes, to the millisecond, for records of which there are hundreds of thousands.
-// Differences are right as long as they are below 49 days.
+// Time stamp of 4 bytes with millisecond resolution, for records that exist by the hundred thousand.
+// The counter wraps around; differences are correct below 49 days.
 class CoarseTime
 {
 public:
@@ -58,7 +58,7 @@
     {
     }
 
-    // The time from this point to `now`.
+    // Time from this time stamp to `now`.
     Duration elapsed(TimePoint now) const
     {
         return std::chrono::milliseconds(toMilliseconds(now) - m_milliseconds);
@@ -84,7 +84,7 @@
     auto operator<=>(const Endpoint &) const = default;
 };
 
-// One run of one balancer; the unit of ownership and of fencing.
+// Identifies one run of one balancer. Flow ownership and fencing refer to it.
 struct BalancerKey {
     BalancerId id{};
     Incarnation incarnation{};
