--- a/src/log.cpp
+++ b/src/log.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Log: easylogging++ set-up and quoting.
+// Log: configuration of easylogging++, and quoting.
 #include "log.h"
 
 #include "lossy_output.h"
@@ -15,10 +15,10 @@
 
 namespace {
 
-LogLevel lowestLevel = LogLevel::Info; // NOLINT(readability-identifier-naming): set once at the start
+LogLevel minLevel = LogLevel::Info; // NOLINT(readability-identifier-naming): written only by configureLog()
 
-// Values with white space, quotes or equals signs are quoted, so that a line can always be split again.
-std::string quoted(const std::string &text)
+// Quotes values that contain white space, quotes or equals signs, so that a line can be parsed unambiguously.
+std::string quoteIfNeeded(const std::string &text)
 {
     if (!text.empty() && text.find_first_of(" \t\n\r\"=") == std::string::npos) {
         return text;
@@ -48,7 +48,7 @@
 
 void configureLog(const LogSettings &settings)
 {
-    lowestLevel = settings.level;
+    minLevel = settings.level;
     el::Configurations configuration;
     configuration.setToDefault();
     configuration.setGlobally(el::ConfigurationType::Format, "time=%datetime{%Y-%M-%dT%H:%m:%s.%g} level=%level %msg");
@@ -65,13 +65,13 @@
 
 LogLine::LogLine(LogLevel level, std::string_view event)
     : m_level(level)
-    , m_line("event=" + quoted(std::string(event)))
+    , m_line("event=" + quoteIfNeeded(std::string(event)))
 {
 }
 
 LogLine::~LogLine()
 {
-    if (m_level < lowestLevel) {
+    if (m_level < minLevel) {
         return;
     }
     switch (m_level) {
@@ -95,7 +95,7 @@
     m_line += ' ';
     m_line += key;
     m_line += '=';
-    m_line += quoted(text);
+    m_line += quoteIfNeeded(text);
 }
 
 } // namespace Robinrail
--- a/src/log.h
+++ b/src/log.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Log: one line of key=value pairs for each event, through easylogging++.
+// Log: writes one line of key=value pairs per event through easylogging++.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +18,16 @@
 
 struct LogSettings {
     LogLevel level = LogLevel::Info;
-    std::string file; // Empty: standard output, where lines that the reader is too slow for are dropped.
+    std::string file; // Empty: standard output, where lines are dropped if the reader is too slow.
 };
 
-// Lines that were dropped because standard output could not take them.
+// Number of lines dropped because a write to standard output would have blocked.
 std::uint64_t droppedLogLines();
 
-// Sets level and place; call once before the first line. Without a file nothing is written to disk.
+// Sets the level and the destination; call once, before the first line. Without a file name nothing is written to disk.
 void configureLog(const LogSettings &settings);
 
-// Builds one line and writes it at the end of the statement:
+// Collects the fields of one line, which the destructor writes at the end of the statement:
 // LogLine(LogLevel::Info, "bundle-applied").with("version", 7);
 class LogLine
 {
--- a/src/log_budget.h
+++ b/src/log_budget.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Log budget: bounds how many lines of a kind are written, so that load can't make a daemon write without end.
+// Log rate limiter: bounds the number of log lines of one kind, so that load can't make a daemon log without limit.
 #pragma once
 
 #include "types.h"
@@ -10,16 +10,15 @@
 
 namespace Robinrail {
 
-// Lines of one kind that may come at once, and a second over time: enough to follow an incident, and below a thousandth
-// of a core.
+// Burst size and sustained rate of one kind of line: enough to follow an incident, at less than 0.1% of a core.
 inline constexpr double MaxLogBurst = 20;
 inline constexpr double MaxLogLinesPerSecond = 10;
 
-// A token bucket for one kind of line.
+// Token bucket for one kind of line.
 class LogRateLimiter
 {
 public:
-    // Takes a line's place; empty if the line must be left out, else how many were left out before it.
+    // Takes a token for one line. Empty if the line must be suppressed, otherwise the number of lines suppressed since the last one.
     std::optional<std::uint64_t> take(TimePoint now)
     {
         const double seconds = std::chrono::duration<double>(now - m_lastRefill).count();
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -20,23 +20,23 @@
 void LatencyHistogram::record(Duration duration)
 {
     const double seconds = static_cast<double>(duration.count()) / MicrosecondsPerSecond;
-    m_histogram(std::max(seconds, MinSeconds / 2));
+    m_histogram(std::max(seconds, MinSeconds / 2)); // The logarithmic axis has no place for 0; this is counted as underflow.
     ++m_count;
     m_sum += seconds;
 }
 
-Duration LatencyHistogram::quantile(double part) const
+Duration LatencyHistogram::quantile(double fraction) const
 {
-    const double wanted = part * static_cast<double>(m_count);
-    double edge = 0;
+    const double rank = fraction * static_cast<double>(m_count);
+    double upperEdge = 0;
     bool found = m_count == 0;
-    forEachBin([&](double upper, double below) {
-        if (!found && below >= wanted) {
-            edge = upper;
+    forEachBin([&](double upper, double cumulative) {
+        if (!found && cumulative >= rank) {
+            upperEdge = upper;
             found = true;
         }
     });
-    return Duration(static_cast<std::int64_t>(edge * MicrosecondsPerSecond));
+    return Duration(static_cast<std::int64_t>(upperEdge * MicrosecondsPerSecond));
 }
 
 std::uint64_t LatencyHistogram::count() const
@@ -62,8 +62,8 @@
 void PrometheusWriter::histogram(std::string_view name, std::string_view help, const LatencyHistogram &histogram)
 {
     m_text << "# HELP " << name << ' ' << help << "\n# TYPE " << name << " histogram\n";
-    histogram.forEachBin([&](double upper, double below) {
-        m_text << name << "_bucket{le=\"" << upper << "\"} " << below << '\n';
+    histogram.forEachBin([&](double upper, double cumulative) {
+        m_text << name << "_bucket{le=\"" << upper << "\"} " << cumulative << '\n';
     });
     m_text << name << "_bucket{le=\"+Inf\"} " << histogram.count() << '\n';
     m_text << name << "_sum " << histogram.sumSeconds() << '\n';
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Metrics: latency histograms by Boost.Histogram, and the Prometheus text format.
+// Metrics: latency histograms (Boost.Histogram) and the Prometheus text format.
 #pragma once
 
 #include "types.h"
@@ -12,7 +12,7 @@
 
 namespace Robinrail {
 
-// Durations on a logarithmic axis from 100 microseconds to 100 seconds.
+// Histogram of durations, with logarithmic bins from 100 microseconds to 100 seconds.
 class LatencyHistogram
 {
 public:
@@ -20,8 +20,8 @@
 
     void record(Duration duration);
 
-    // The duration below which this part of the recorded ones lies, as the upper edge of its bin; 0 without any.
-    Duration quantile(double part) const;
+    // Upper edge of the bin that contains the quantile, for a fraction from 0 to 1; 0 if nothing was recorded.
+    Duration quantile(double fraction) const;
 
     std::uint64_t count() const;
     double sumSeconds() const;
@@ -30,17 +30,17 @@
     template<typename Visit>
     void forEachBin(Visit visit) const
     {
-        double below = m_histogram.at(-1);
+        double cumulative = m_histogram.at(-1);
         const auto &axis = m_histogram.axis();
         for (int bin = 0; bin < axis.size(); ++bin) {
-            below += m_histogram.at(bin);
-            visit(axis.bin(bin).upper(), below);
+            cumulative += m_histogram.at(bin);
+            visit(axis.bin(bin).upper(), cumulative);
         }
     }
 
 private:
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
-    static constexpr unsigned BinCount = 240; // About 6% wide each.
+    static constexpr unsigned BinCount = 240; // Each bin is about 6% wide.
 
     decltype(boost::histogram::make_histogram(std::declval<Axis>())) m_histogram;
     std::uint64_t m_count = 0;
