--- a/src/arguments.h
+++ b/src/arguments.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Arguments: docopt with the exit codes that the programs document.
+// Arguments: command line parsing with docopt, and the documented exit codes.
 #pragma once
 
 #include "version.h"
@@ -11,7 +11,7 @@
 
 namespace Robinrail {
 
-// Parses the arguments; prints help or version and ends with 0, or says what is wrong and ends with 2.
+// Parses the arguments. Prints help or version and exits with 0, or prints the error and exits with 2.
 inline std::map<std::string, docopt::value> parseArguments(const char *usage, int argc, char **argv)
 {
     constexpr int ExitUsage = 2;
--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Balancer daemon: sockets, signals, bundles. Its administration API is in balancer_api.cpp.
+// Balancer daemon: sockets, signals and bundles. The administration API is in balancer_api.cpp.
 #include "balancer_daemon.h"
 
 #include "api_json.h"
@@ -22,13 +22,13 @@
 constexpr const char *StateFile = "balancer";
 constexpr int SocketBufferBytes = 4 << 20;
 
-BalancerSettings makeCoreSettings(const BalancerDaemonSettings &file, Incarnation incarnation)
+BalancerSettings makeCoreSettings(const BalancerDaemonSettings &daemonSettings, Incarnation incarnation)
 {
     BalancerSettings settings;
-    settings.self = {file.balancer, incarnation};
-    settings.dataCentre = file.dataCentreId;
-    settings.peers = file.peers;
-    settings.connectionIdKeys = file.connectionIdKeys;
+    settings.self = {daemonSettings.balancer, incarnation};
+    settings.dataCentre = daemonSettings.dataCentreId;
+    settings.peers = daemonSettings.peers;
+    settings.connectionIdKeys = daemonSettings.connectionIdKeys;
     return settings;
 }
 
@@ -43,29 +43,29 @@
 {
     constexpr std::size_t ChecksumSize = 8;
     const auto wallClock = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch());
-    PersistedBalancerState memory;
+    PersistedBalancerState state;
     if (!folder.empty()) {
         std::error_code ignored;
         std::filesystem::create_directories(folder, ignored);
         BOOST_LEAF_AUTO(found, readFile(folder / StateFile));
         if (found && found->size() > ChecksumSize) {
-            const auto kept = decodeMessage<std::variant<PersistedBalancerState>>(*found);
-            memory = kept ? std::get<PersistedBalancerState>(*kept) : PersistedBalancerState{};
+            const auto decoded = decodeMessage<std::variant<PersistedBalancerState>>(*found);
+            state = decoded ? std::get<PersistedBalancerState>(*decoded) : PersistedBalancerState{};
         }
     }
-    memory.incarnation = Incarnation{std::max<std::uint64_t>(value(memory.incarnation) + 1, static_cast<std::uint64_t>(wallClock.count()))};
+    state.incarnation = Incarnation{std::max<std::uint64_t>(value(state.incarnation) + 1, static_cast<std::uint64_t>(wallClock.count()))};
     if (!folder.empty()) {
-        BOOST_LEAF_CHECK(replaceFile(folder / StateFile, encodeMessage(std::variant<PersistedBalancerState>(memory))));
+        BOOST_LEAF_CHECK(replaceFile(folder / StateFile, encodeMessage(std::variant<PersistedBalancerState>(state))));
     }
-    return memory;
+    return state;
 }
 
 BalancerDaemon::BalancerDaemon(
-    boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings file, PersistedBalancerState memory, bool testFaults)
+    boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings settings, PersistedBalancerState state, bool testFaults)
     : m_io(io)
     , m_settingsPath(std::move(settingsPath))
-    , m_settings(std::move(file))
-    , m_persisted(std::move(memory))
+    , m_settings(std::move(settings))
+    , m_persisted(std::move(state))
     , m_testFaults(testFaults)
     , m_core(makeCoreSettings(m_settings, m_persisted.incarnation))
     , m_guard(m_settings.clusterKey, {m_settings.balancer, m_persisted.incarnation})
@@ -143,14 +143,14 @@
     flush();
 }
 
-// Only the connection id keys are taken from a changed settings file; the rest needs a restart.
+// Reloads the connection id keys from the settings file. Other changes of the file need a restart.
 void BalancerDaemon::reloadKeys()
 {
     leaf::try_handle_all(
         [this]() -> leaf::result<void> {
-            BOOST_LEAF_AUTO(file, loadBalancerSettings(m_settingsPath));
-            m_core.applyKeys(file.connectionIdKeys);
-            LogLine(LogLevel::Info, "keys-reloaded").with("newest", static_cast<int>(file.connectionIdKeys.front().version));
+            BOOST_LEAF_AUTO(settings, loadBalancerSettings(m_settingsPath));
+            m_core.applyKeys(settings.connectionIdKeys);
+            LogLine(LogLevel::Info, "keys-reloaded").with("newest", static_cast<int>(settings.connectionIdKeys.front().version));
             return {};
         },
         [](const SettingsFault &fault) {
@@ -199,7 +199,7 @@
                 break;
             }
             if (!error) {
-                take(port, fromUdp(from), {buffer.data(), size});
+                handleDatagram(port, fromUdp(from), {buffer.data(), size});
             }
         }
         flush();
@@ -207,7 +207,7 @@
     });
 }
 
-void BalancerDaemon::take(Port &port, Endpoint from, BytesView bytes)
+void BalancerDaemon::handleDatagram(Port &port, Endpoint from, BytesView bytes)
 {
     const TimePoint now = monotonicNow();
     BalancerContext &context = m_core.context();
@@ -269,7 +269,7 @@
 
 void BalancerDaemon::sendDatagram(Udp::socket &socket, Endpoint to, BytesView bytes)
 {
-    boost::system::error_code ignored; // A datagram that can't be sent is lost, as any may be.
+    boost::system::error_code ignored; // A send error counts as packet loss, which UDP allows at any time.
     socket.send_to(boost::asio::buffer(bytes.data(), bytes.size()), toUdp(to), 0, ignored);
 }
 
@@ -310,8 +310,8 @@
 {
     if (const auto *offer = std::get_if<BundleOffer>(&message)) {
         handleBundleOffer(link, *offer);
-    } else if (const auto *beat = std::get_if<ControlBeat>(&message)) {
-        m_rollout.noteBeat(monotonicNow(), *beat);
+    } else if (const auto *status = std::get_if<ControlBeat>(&message)) {
+        m_rollout.noteBeat(monotonicNow(), *status);
     }
 }
 
--- a/src/balancer_daemon.h
+++ b/src/balancer_daemon.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Balancer daemon: sockets, files and timers around a balancer core.
+// Balancer daemon: connects a BalancerCore to sockets, files and timers.
 #pragma once
 
 #include "balancer_core.h"
@@ -21,13 +21,13 @@
 
 namespace Robinrail {
 
-// Events that are kept for watchers.
+// Most recent events that are retained for clients of the events API.
 inline constexpr std::size_t MaxRetainedEvents = 20'000;
 
-// Datagrams that are read from one socket before other work has its turn.
+// Datagrams read from one socket per wake-up, so that other handlers are not starved.
 inline constexpr int MaxReadsPerWakeup = 256;
 
-// What a balancer keeps in its data folder.
+// State that a balancer stores in its data folder.
 struct PersistedBalancerState {
     Incarnation incarnation{};
     std::uint64_t bundleVersion = 0;
@@ -42,15 +42,15 @@
 class BalancerDaemon
 {
 public:
-    // `memory` is what was kept from the run before, with this run's incarnation.
+    // `state` is the stored state of the previous run with the incarnation of this run.
     BalancerDaemon(
-        boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings file, PersistedBalancerState memory, bool testFaults);
+        boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings settings, PersistedBalancerState state, bool testFaults);
 
-    // Binds and begins; false if an address can't be bound.
+    // Binds all addresses and starts the timers; false if an address can't be bound.
     bool start();
 
 private:
-    // One UDP socket and what arrives on it.
+    // A bound UDP socket and the kind of senders that it serves.
     struct Port {
         enum class Kind : std::uint8_t {
             Callers,
@@ -59,12 +59,12 @@
         };
         boost::asio::ip::udp::socket socket;
         Kind kind = Kind::Callers;
-        std::string service; // For callers.
+        std::string service; // Set if kind is Callers.
     };
 
     bool bind(Endpoint endpoint, Port::Kind kind, std::string service);
     void receive(Port &port);
-    void take(Port &port, Endpoint from, BytesView bytes);
+    void handleDatagram(Port &port, Endpoint from, BytesView bytes);
     void handlePeerDatagram(TimePoint now, Endpoint from, BytesView bytes);
     void flush();
     void sendDatagram(boost::asio::ip::udp::socket &socket, Endpoint to, BytesView bytes);
@@ -108,7 +108,7 @@
     Port *m_callerPort = nullptr;
     std::map<std::string, ServiceId> m_serviceIds;
     std::map<Endpoint, BalancerId> m_peerEndpoints;
-    std::set<BalancerId> m_blockedPeers; // For tests of failures.
+    std::set<BalancerId> m_blockedPeers; // Traffic with these is dropped; set by tests through the API.
     std::deque<Event> m_events;
     std::uint64_t m_lastEventNumber = 0;
     LatencyHistogram m_attemptLatency;
@@ -116,7 +116,7 @@
     std::uint64_t m_relayBytes = 0;
 };
 
-// Reads what the run before kept and takes a higher incarnation, synced before it is used.
+// Loads the state of the previous run and raises its incarnation, which is synced to disk before it is used.
 boost::leaf::result<PersistedBalancerState> startNewIncarnation(const std::filesystem::path &folder);
 
 } // namespace Robinrail
--- a/src/main_balancer.cpp
+++ b/src/main_balancer.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// robinrail-balancer: the daemon of one entry VM.
+// robinrail-balancer: the balancer daemon, which runs on each entry VM.
 #include "arguments.h"
 #include "balancer_daemon.h"
 #include "program.h"
@@ -23,27 +23,27 @@
 
 Options:
   --settings=FILE  Settings, JSON (schemas/balancer.schema.json).
-  --check          Check the settings, bind nothing, and end.
+  --check          Check the settings and exit without binding any address.
   --test-faults    Let the administration API drop traffic by peer, for tests.
   -h --help        Show this text.
   --version        Show the version.
 
-SIGTERM begins a planned stop; SIGHUP reads the connection id keys again.
+SIGTERM starts a planned stop; SIGHUP reloads the connection id keys.
 
-Exit codes: 0 stopped as planned, 1 failed while running, 2 settings are wrong.
+Exit codes: 0 stopped as planned, 1 failed while running, 2 settings are invalid.
 )";
 
 leaf::result<int> run(const std::string &path, bool checkOnly, bool testFaults)
 {
-    BOOST_LEAF_AUTO(file, loadBalancerSettings(path));
+    BOOST_LEAF_AUTO(settings, loadBalancerSettings(path));
     if (checkOnly) {
         std::cout << path << ": ok\n";
         return 0;
     }
-    configureLog(file.log);
-    BOOST_LEAF_AUTO(memory, startNewIncarnation(file.dataFolder));
+    configureLog(settings.log);
+    BOOST_LEAF_AUTO(state, startNewIncarnation(settings.dataFolder));
     boost::asio::io_context io;
-    BalancerDaemon daemon(io, path, std::move(file), std::move(memory), testFaults);
+    BalancerDaemon daemon(io, path, std::move(settings), std::move(state), testFaults);
     if (!daemon.start()) {
         return ExitFailed;
     }
--- a/src/main_control.cpp
+++ b/src/main_control.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// robinrail-control: the daemon of one VM with a disk.
+// robinrail-control: the control replica daemon, which runs on each VM with a disk.
 #include "arguments.h"
 #include "control_daemon.h"
 #include "program.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr const char *Usage = R"(robinrail-control: agrees with its replicas on the configuration.
+constexpr const char *Usage = R"(robinrail-control: replicates the configuration among the control VMs.
 
 Usage:
   robinrail-control --settings=FILE [--bootstrap] [--check] [--test-faults]
@@ -23,18 +23,18 @@
 
 Options:
   --settings=FILE  Settings, JSON (schemas/control.schema.json).
-  --bootstrap      Begin a new cluster with this replica as its only voter. Only for an
-                   empty data folder, and only on one replica; the others join by themselves.
-  --check          Check the settings, bind nothing, and end.
+  --bootstrap      Start a new cluster with this replica as its only voter. Requires an empty
+                   data folder; use it on one replica only, the others join automatically.
+  --check          Check the settings and exit without binding any address.
   --test-faults    Let the administration API drop traffic by peer, for tests.
   -h --help        Show this text.
   --version        Show the version.
 
-Exit codes: 0 stopped as asked, 1 failed while running, 2 settings are wrong,
+Exit codes: 0 stopped as asked, 1 failed while running, 2 settings are invalid,
 3 the data folder is refused.
 )";
 
-std::uint64_t randomNumber()
+std::uint64_t randomNonZero()
 {
     std::uint64_t number = 0;
     while (number == 0) {
@@ -43,36 +43,36 @@
     return number;
 }
 
-// Makes a fresh folder the beginning of a new cluster.
-leaf::result<void> bootstrap(RaftStorage &storage, const ControlDaemonSettings &file)
+// Initializes an empty data folder as that of the first voter of a new cluster.
+leaf::result<void> bootstrap(RaftStorage &storage, const ControlDaemonSettings &settings)
 {
     if (!storage.fresh()) {
-        return leaf::new_error(StorageError::ForeignFolder, StorageContext{file.dataFolder.string(), "--bootstrap needs an empty folder"});
+        return leaf::new_error(StorageError::ForeignFolder, StorageContext{settings.dataFolder.string(), "--bootstrap needs an empty folder"});
     }
-    BOOST_LEAF_CHECK(storage.setCluster(randomNumber()));
-    const ReplicaKey self{file.replica, storage.identity().disk};
-    const RaftDurable durable = RaftCore::bootstrap(self, encodeMessage(ControlCommand(Genesis{file.firstOperators})));
-    RaftOutput first;
-    first.hard = durable.hard;
-    first.entries = durable.log;
-    return storage.persist(first);
+    BOOST_LEAF_CHECK(storage.setCluster(randomNonZero()));
+    const ReplicaKey self{settings.replica, storage.identity().disk};
+    const RaftDurable durable = RaftCore::bootstrap(self, encodeMessage(ControlCommand(Genesis{settings.firstOperators})));
+    RaftOutput initial;
+    initial.hard = durable.hard;
+    initial.entries = durable.log;
+    return storage.persist(initial);
 }
 
 leaf::result<int> run(const std::string &path, bool checkOnly, bool bootstrapFirst, bool testFaults)
 {
-    BOOST_LEAF_AUTO(file, loadControlSettings(path));
+    BOOST_LEAF_AUTO(settings, loadControlSettings(path));
     if (checkOnly) {
         std::cout << path << ": ok\n";
         return 0;
     }
-    configureLog(file.log);
+    configureLog(settings.log);
     if (bootstrapFirst) {
-        BOOST_LEAF_AUTO(empty, RaftStorage::open(file.dataFolder, file.replica, randomNumber()));
-        BOOST_LEAF_CHECK(bootstrap(empty, file));
+        BOOST_LEAF_AUTO(emptyStorage, RaftStorage::open(settings.dataFolder, settings.replica, randomNonZero()));
+        BOOST_LEAF_CHECK(bootstrap(emptyStorage, settings));
     }
-    BOOST_LEAF_AUTO(storage, RaftStorage::open(file.dataFolder, file.replica, randomNumber()));
+    BOOST_LEAF_AUTO(storage, RaftStorage::open(settings.dataFolder, settings.replica, randomNonZero()));
     boost::asio::io_context io;
-    ControlDaemon daemon(io, std::move(file), std::move(storage), testFaults);
+    ControlDaemon daemon(io, std::move(settings), std::move(storage), testFaults);
     if (!daemon.start()) {
         return ExitFailed;
     }
--- a/src/main_robinrail.cpp
+++ b/src/main_robinrail.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// robinrail: the operator's command.
+// robinrail: the command-line tool of operators.
 #include "arguments.h"
 #include "operator_commands.h"
 
@@ -35,18 +35,18 @@
   robinrail --version
 
 Options:
-  --config=FILE      Addresses, token, operator and key file, JSON [default: robinrail.json].
+  --config=FILE      Addresses, token, operator and key file; JSON [default: robinrail.json].
   --out=FILE         Where to write the key or the signed change.
-  --base=N           Version that the bundle builds on; 0 for the first.
-  --at=VERSION       A version other than the newest.
+  --base=N           Version on which the bundle is based; 0 for the first.
+  --at=VERSION       Show this version instead of the newest.
   --after=NUMBER     Only audit records after this number.
   --timeout=SECONDS  How long to watch [default: 30].
-  --revoked          The operator can sign nothing any more.
+  --revoked          Revoke the key of the operator.
   --json             Print JSON.
   -h --help          Show this text.
   --version          Show the version.
 
-Exit codes: 0 done, 1 a check or verification failed, 2 bad input, 3 nobody answers, 4 refused.
+Exit codes: 0 done, 1 a check or verification failed, 2 bad input, 3 no answer, 4 refused.
 )";
 
 } // namespace
--- a/src/process.cpp
+++ b/src/process.cpp
@@ -25,11 +25,11 @@
     , m_signals(io, SIGINT, SIGTERM, SIGHUP)
     , m_timer(io)
 {
-    awaitSignal();
-    poll();
+    waitForSignal();
+    pollSettings();
 }
 
-void ProcessControl::awaitSignal()
+void ProcessControl::waitForSignal()
 {
     m_signals.async_wait([this](const boost::system::error_code &error, int signal) {
         if (error) {
@@ -37,27 +37,27 @@
         }
         LogLine(LogLevel::Info, "signal").with("number", signal);
         if (signal == SIGHUP) {
-            load();
+            reloadSettings();
         } else {
             m_stop();
         }
-        awaitSignal();
+        waitForSignal();
     });
 }
 
-void ProcessControl::poll()
+void ProcessControl::pollSettings()
 {
     m_timer.expires_after(SettingsPollInterval);
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            load();
-            poll();
+            reloadSettings();
+            pollSettings();
         }
     });
 }
 
-// Unreadable settings change nothing: the file may be in the middle of being replaced.
-void ProcessControl::load()
+// Keeps the settings in use if the file is unreadable or invalid, as it may be in the middle of being replaced.
+void ProcessControl::reloadSettings()
 {
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
--- a/src/process.h
+++ b/src/process.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Process: signals and the settings file of a daemon that is configured by the platform it runs on.
+// Process: signal handling and settings reload of a daemon that is configured by the platform it runs on.
 #pragma once
 
 #include "settings.h"
@@ -11,13 +11,14 @@
 
 namespace Robinrail {
 
-// The settings file is looked at this often, as it may change without a signal.
+// Interval at which the settings file is read again, as it may change without a signal.
 inline constexpr std::chrono::seconds SettingsPollInterval{2};
 
 class ProcessControl
 {
 public:
-    // `stop` runs at SIGTERM or SIGINT; `reload` gets new settings that were checked and differ.
+    // Calls `stop` on SIGTERM or SIGINT. Calls `reload` with the new settings if the file, read again on SIGHUP and
+    // periodically, is valid and lists other seeds.
     ProcessControl(boost::asio::io_context &io,
                    std::filesystem::path path,
                    std::vector<Endpoint> seeds,
@@ -25,12 +26,12 @@
                    std::function<void(const SteeringSettings &)> reload);
 
 private:
-    void awaitSignal();
-    void poll();
-    void load();
+    void waitForSignal();
+    void pollSettings();
+    void reloadSettings();
 
     std::filesystem::path m_path;
-    std::vector<Endpoint> m_seeds; // The part of the settings that may change.
+    std::vector<Endpoint> m_seeds; // The only setting that can change at run time.
     std::function<void()> m_stop;
     std::function<void(const SteeringSettings &)> m_reload;
     boost::asio::signal_set m_signals;
--- a/src/program.h
+++ b/src/program.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Program: the end of each daemon's main: what a failure prints, and the exit code that stands for it.
+// Program: error messages and exit codes that the main functions of the daemons share.
 #pragma once
 
 #include "durable_file.h"
@@ -13,12 +13,12 @@
 
 namespace Robinrail {
 
-// Exit codes of the daemons, as their usage texts document them.
+// Exit codes, as documented in the usage texts of the daemons.
 inline constexpr int ExitFailed = 1;
-inline constexpr int ExitBadSettings = 2;
-inline constexpr int ExitBadFolder = 3;
+inline constexpr int ExitInvalidSettings = 2;
+inline constexpr int ExitDataFolderRefused = 3;
 
-// Runs a program, which returns leaf::result<int> with its exit code; a failure is printed and becomes one.
+// Runs a function that returns its exit code as leaf::result<int>. Prints an error and converts it to an exit code.
 template<typename Run>
 int runProgram(Run run)
 {
@@ -26,18 +26,18 @@
         run,
         [](const SettingsFault &fault) {
             std::cerr << fault.text() << '\n';
-            return ExitBadSettings;
+            return ExitInvalidSettings;
         },
         [](StorageError, const StorageContext &context) {
             std::cerr << context.file << ": " << context.detail << '\n';
-            return ExitBadFolder;
+            return ExitDataFolderRefused;
         },
         [](const FileErrorContext &context) {
             std::cerr << context.path << ": " << std::generic_category().message(context.errorNumber) << '\n';
             return ExitFailed;
         },
         [](const boost::leaf::error_info &info) {
-            std::cerr << "failed: error without context, " << info.error() << '\n';
+            std::cerr << "failed: unexpected error " << info.error() << '\n';
             return ExitFailed;
         });
 }
--- a/src/version.h
+++ b/src/version.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Version: what --version prints.
+// Version: the text printed by --version.
 #pragma once
 
 namespace Robinrail {
