--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Platform: the adapter's codecs, on messages in the platform's own form.
+// Tests of the platform codecs with messages in the platform's wire format.
 #include "document_codec.h"
 #include "packet_codec.h"
 
@@ -21,10 +21,10 @@
 }
 
 // An opening packet from 100.64.0.7:40001 to 198.18.0.1:443, and a reset in answer to it.
-const Bytes Opening = fromHexText("00 00 07 00 40 64 bb 01 01 00 12 c6 41 9c d5 c3 b2 a1 44 33 22 11 00 00 00 00 00 00 00 00 02 00");
-const Bytes ResetOfOpening = fromHexText("00 00 01 00 12 c6 41 9c 07 00 40 64 bb 01 00 00 00 00 00 00 00 00 00 00 00 00 00 00 00 00 08 00");
+const Bytes OpeningPacket = fromHexText("00 00 07 00 40 64 bb 01 01 00 12 c6 41 9c d5 c3 b2 a1 44 33 22 11 00 00 00 00 00 00 00 00 02 00");
+const Bytes ResetReply = fromHexText("00 00 01 00 12 c6 41 9c 07 00 40 64 bb 01 00 00 00 00 00 00 00 00 00 00 00 00 00 00 00 00 08 00");
 
-std::string documentWith(const std::string &routes)
+std::string documentWithRoutes(const std::string &routes)
 {
     return R"({"version": 7, "routes": [)" + routes + R"(], "services": [{"name": "a"}, {"name": "b"}], "limits": {"idle_timeout_ms": 15000}})";
 }
@@ -34,15 +34,15 @@
     return R"({"name": "r", "host": "198.18.0.1", "path_prefix": ")" + port + "\"" + more + "}";
 }
 
-bool valid(const std::string &text)
+bool isValidDocument(const std::string &text)
 {
     std::string reason;
-    const bool read = parseRoutingDocument(text, reason).has_value();
-    CHECK(read == reason.empty());
-    return read;
+    const bool parsed = parseRoutingDocument(text, reason).has_value();
+    CHECK(parsed == reason.empty());
+    return parsed;
 }
 
-SteeringSettings settingsOf()
+SteeringSettings steeringSettings()
 {
     SteeringSettings file;
     file.dataCentres = {"lalit", "thamel"};
@@ -51,9 +51,9 @@
 
 } // namespace
 
-TEST_CASE("a packet head is read and a reset is written byte for byte")
+TEST_CASE("a packet header is decoded and a reset encoded byte for byte")
 {
-    const std::optional<FlowPacket> packet = PacketHeaderCodec::decode(Opening);
+    const std::optional<FlowPacket> packet = PacketHeaderCodec::decode(OpeningPacket);
     REQUIRE(packet);
     CHECK(packet->caller == Endpoint{0x64400007, 40001});
     CHECK(packet->route == Endpoint{0xc6120001, 443});
@@ -63,27 +63,27 @@
     Bytes reset(PacketHeaderCodec::MaxPacket);
     CHECK(PacketHeaderCodec::writeReset(reset, *packet, 0) == PacketHeaderCodec::HeaderSize);
     reset.resize(PacketHeaderCodec::HeaderSize);
-    CHECK(reset == ResetOfOpening);
+    CHECK(reset == ResetReply);
 }
 
-TEST_CASE("only the token changes in a packet that is passed on")
+TEST_CASE("writing the token changes no other byte of a packet")
 {
-    Bytes packet = Opening;
+    Bytes packet = OpeningPacket;
     PacketHeaderCodec::writeToken(packet, FlowToken{0xa1b2c3d4});
     CHECK(PacketHeaderCodec::decode(packet)->token == FlowToken{0xa1b2c3d4});
     PacketHeaderCodec::writeToken(packet, FlowToken{0});
-    CHECK(packet == Opening);
+    CHECK(packet == OpeningPacket);
     Bytes prefix(PacketHeaderCodec::PrefixSize);
     PacketHeaderCodec::writePrefix(prefix, TargetKey{0x7f3a91c2});
     CHECK(prefix == fromHexText("00 00 00 00 7f 3a 91 c2"));
 }
 
-TEST_CASE("packets that are cut short or whose length is wrong are not read")
+TEST_CASE("truncated packets and packets with a wrong length are rejected")
 {
-    for (std::size_t size = 0; size < Opening.size(); ++size) {
-        CHECK_FALSE(PacketHeaderCodec::decode(BytesView(Opening).first(size)));
+    for (std::size_t size = 0; size < OpeningPacket.size(); ++size) {
+        CHECK_FALSE(PacketHeaderCodec::decode(BytesView(OpeningPacket).first(size)));
     }
-    Bytes longer = Opening;
+    Bytes longer = OpeningPacket;
     longer.push_back(1);
     CHECK_FALSE(PacketHeaderCodec::decode(longer));
     CHECK(rc::check("any bytes", [](const Bytes &bytes) {
@@ -91,10 +91,10 @@
     }));
 }
 
-TEST_CASE("a document is read into a table, with its text unchanged")
+TEST_CASE("a routing document is parsed into a table and its text is kept unchanged")
 {
-    const std::string text = documentWith(routeWith(R"(, "service": "b", "timeout_ms": 20)") + ","
-                                          + routeWith(R"(, "backends": [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}])", "/8443/"));
+    const std::string text = documentWithRoutes(routeWith(R"(, "service": "b", "timeout_ms": 20)") + ","
+                                                + routeWith(R"(, "backends": [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}])", "/8443/"));
     std::string reason;
     const std::optional<RoutingDocument> document = parseRoutingDocument(text, reason);
     REQUIRE(document);
@@ -107,41 +107,41 @@
     CHECK(document->table.routes[1].address == Endpoint{0xc6120001, 8443});
 }
 
-TEST_CASE("documents with any fault are refused")
+TEST_CASE("invalid routing documents are rejected")
 {
-    const std::string sound = routeWith(R"(, "service": "a")");
-    CHECK(valid(documentWith(sound)));
-    CHECK_FALSE(valid(documentWith(sound).substr(0, 60)));
-    CHECK_FALSE(valid("[]"));
-    CHECK_FALSE(valid(documentWith(routeWith(R"(, "service": "c")"))));
-    CHECK_FALSE(valid(documentWith(routeWith(""))));
-    CHECK_FALSE(valid(documentWith(sound + "," + sound)));
-    CHECK_FALSE(valid(documentWith(routeWith(R"(, "service": "a", "timeout_ms": 0)"))));
-    CHECK_FALSE(valid(documentWith(routeWith(R"(, "backends": [])"))));
-    CHECK_FALSE(valid(documentWith(routeWith(R"(, "backends": [{"service": "a", "weight": 0}])"))));
-    CHECK_FALSE(valid(documentWith(routeWith(R"(, "backends": [{"service": "a", "weight": -1}])"))));
-    CHECK_FALSE(valid(documentWith(routeWith(R"(, "service": "a")", "/port/"))));
-    CHECK_FALSE(valid(R"({"version": "7", "routes": [], "services": []})"));
-    CHECK_FALSE(valid(R"({"version": 7, "services": []})"));
+    const std::string wellFormed = routeWith(R"(, "service": "a")");
+    CHECK(isValidDocument(documentWithRoutes(wellFormed)));
+    CHECK_FALSE(isValidDocument(documentWithRoutes(wellFormed).substr(0, 60)));
+    CHECK_FALSE(isValidDocument("[]"));
+    CHECK_FALSE(isValidDocument(documentWithRoutes(routeWith(R"(, "service": "c")"))));
+    CHECK_FALSE(isValidDocument(documentWithRoutes(routeWith(""))));
+    CHECK_FALSE(isValidDocument(documentWithRoutes(wellFormed + "," + wellFormed)));
+    CHECK_FALSE(isValidDocument(documentWithRoutes(routeWith(R"(, "service": "a", "timeout_ms": 0)"))));
+    CHECK_FALSE(isValidDocument(documentWithRoutes(routeWith(R"(, "backends": [])"))));
+    CHECK_FALSE(isValidDocument(documentWithRoutes(routeWith(R"(, "backends": [{"service": "a", "weight": 0}])"))));
+    CHECK_FALSE(isValidDocument(documentWithRoutes(routeWith(R"(, "backends": [{"service": "a", "weight": -1}])"))));
+    CHECK_FALSE(isValidDocument(documentWithRoutes(routeWith(R"(, "service": "a")", "/port/"))));
+    CHECK_FALSE(isValidDocument(R"({"version": "7", "routes": [], "services": []})"));
+    CHECK_FALSE(isValidDocument(R"({"version": 7, "services": []})"));
     CHECK(rc::check("any text", [](const std::string &text) {
         std::string reason;
         parseRoutingDocument(text, reason);
     }));
 }
 
-TEST_CASE("announcements and ids are read, and refused when something is wrong")
+TEST_CASE("announcements and target ids are parsed, and invalid ones are rejected")
 {
-    const std::string sound =
+    const std::string wellFormed =
         R"({"service":"a","address":"10.0.0.9:80","zone":"thamel","version":"v1","capacity":2,"state":"draining","warmup_left_ms":250,"sequence":4})";
     std::string reason;
-    const std::optional<TargetRecord> record = parseAnnouncement(TargetKey{5}, sound, settingsOf(), reason);
+    const std::optional<TargetRecord> record = parseAnnouncement(TargetKey{5}, wellFormed, steeringSettings(), reason);
     REQUIRE(record);
     CHECK(record->address == Endpoint{0x0a000009, 80});
     CHECK(record->dataCentre == DataCentreId{2});
     CHECK(record->phase == TargetPhase::Draining);
     CHECK(record->warmupLeft == std::chrono::milliseconds(250));
-    for (const char *broken : {"", "{}", R"({"service":"a"})", "[1]"}) {
-        CHECK_FALSE(parseAnnouncement(TargetKey{5}, broken, settingsOf(), reason));
+    for (const char *malformed : {"", "{}", R"({"service":"a"})", "[1]"}) {
+        CHECK_FALSE(parseAnnouncement(TargetKey{5}, malformed, steeringSettings(), reason));
     }
     CHECK(parseTargetId("i-7f3a91c2") == TargetKey{0x7f3a91c2});
     CHECK_FALSE(parseTargetId("i-"));
@@ -149,38 +149,38 @@
     CHECK_FALSE(parseTargetId("i-0"));
 }
 
-TEST_CASE("how targets warm up is read; a rate of 0 gives no limit")
+TEST_CASE("warm-up settings are parsed, and a rate of 0 means no limit")
 {
-    const auto warmupOf = [](const std::string &members) {
+    const auto parseWarmup = [](const std::string &members) {
         std::string reason;
         const auto document = parseRoutingDocument(R"({"version": 7, "routes": [], "services": [{"name": "a")" + members + "}]}", reason);
         return document ? std::optional(document->table.warmupOf(0)) : std::nullopt;
     };
-    CHECK(warmupOf("") == ServiceWarmup{});
-    CHECK(warmupOf(R"(, "warmup_s": 2.0, "warmup_per_s": 0.0)") == ServiceWarmup{std::chrono::seconds(2), false});
-    CHECK(warmupOf(R"(, "warmup_s": 1.5, "warmup_per_s": 6)") == ServiceWarmup{std::chrono::milliseconds(1500), true});
-    CHECK(warmupOf(R"(, "warmup_s": 1e300)") == ServiceWarmup{std::chrono::hours(24), false});
-    CHECK_FALSE(warmupOf(R"(, "warmup_s": "2")"));
-    CHECK_FALSE(warmupOf(R"(, "warmup_per_s": -1)"));
+    CHECK(parseWarmup("") == ServiceWarmup{});
+    CHECK(parseWarmup(R"(, "warmup_s": 2.0, "warmup_per_s": 0.0)") == ServiceWarmup{std::chrono::seconds(2), false});
+    CHECK(parseWarmup(R"(, "warmup_s": 1.5, "warmup_per_s": 6)") == ServiceWarmup{std::chrono::milliseconds(1500), true});
+    CHECK(parseWarmup(R"(, "warmup_s": 1e300)") == ServiceWarmup{std::chrono::hours(24), false});
+    CHECK_FALSE(parseWarmup(R"(, "warmup_s": "2")"));
+    CHECK_FALSE(parseWarmup(R"(, "warmup_per_s": -1)"));
 }
 
-TEST_CASE("an announcement tells the birth of its lifetime, and one from another writer names no target")
+TEST_CASE("the start time of a lifetime is parsed, and announcements with malformed members are rejected")
 {
-    const auto bornOf = [](const std::string &member) {
+    const auto parseBorn = [](const std::string &member) {
         std::string reason;
         const auto record = parseAnnouncement(
             TargetKey{5},
             R"({"service":"a","address":"10.0.0.9:80","zone":"thamel","capacity":2,"state":"ready","warmup_left_ms":99999999999999,"sequence":4)" + member
                 + "}",
-            settingsOf(),
+            steeringSettings(),
             reason);
         CHECK(record.has_value() == reason.empty());
         return record ? std::optional(record->born) : std::nullopt;
     };
-    CHECK(bornOf("") == 0);
-    CHECK(bornOf(R"(,"born":1764720000000)") == 1'764'720'000'000);
-    for (const char *foreign : {R"(,"born":"1764720000000")", R"(,"born":1.5)", R"(,"born":-1)", R"(,"born":null)", R"(,"state":"resting")"}) {
-        CHECK_FALSE(bornOf(foreign));
+    CHECK(parseBorn("") == 0);
+    CHECK(parseBorn(R"(,"born":1764720000000)") == 1'764'720'000'000);
+    for (const char *malformed : {R"(,"born":"1764720000000")", R"(,"born":1.5)", R"(,"born":-1)", R"(,"born":null)", R"(,"state":"resting")"}) {
+        CHECK_FALSE(parseBorn(malformed));
     }
     std::string reason;
     CHECK(parseDeregistration("", reason) == 0);
--- a/tests/test_settings.cpp
+++ b/tests/test_settings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Settings and bundles: every kind of bad input has a clear error that says where.
+// Tests that invalid settings and bundles are rejected with an error that names the location, and tests of secure sessions.
 #include "bundle.h"
 #include "secure_session.h"
 #include "settings.h"
@@ -17,7 +17,7 @@
 
 namespace {
 
-Json soundSettings()
+Json validSettings()
 {
     return Json::parse(R"({
         "balancer": 1,
@@ -35,7 +35,7 @@
     })");
 }
 
-Json soundSteeringSettings()
+Json validSteeringSettings()
 {
     return Json::parse(R"({
         "node": "edge-1", "dataCentre": "b", "dataCentres": ["c", "b"],
@@ -45,9 +45,9 @@
     })");
 }
 
-// Loads a text by one of the loaders; the fault that this gives, empty if the text is sound.
+// Writes the text to a file and loads it with `load`. Returns the error, or an empty string if the text is valid.
 template<typename Load>
-std::string faultOfLoading(const std::string &text, Load load)
+std::string loadError(const std::string &text, Load load)
 {
     std::string path = (std::filesystem::temp_directory_path() / "robinrail-settings-XXXXXX").string();
     const int descriptor = ::mkstemp(path.data());
@@ -68,20 +68,20 @@
     return fault;
 }
 
-std::string faultOf(const std::string &text)
+std::string settingsError(const std::string &text)
 {
-    return faultOfLoading(text, [](const std::string &path) -> leaf::result<void> {
+    return loadError(text, [](const std::string &path) -> leaf::result<void> {
         BOOST_LEAF_AUTO(file, loadBalancerSettings(path));
         CHECK(file.dataCentreId == DataCentreId{2});
         return {};
     });
 }
 
-std::string steeringFaultOf(const Json &settings)
+std::string steeringSettingsError(const Json &settings)
 {
-    return faultOfLoading(settings.dump(), [](const std::string &path) -> leaf::result<void> {
+    return loadError(settings.dump(), [](const std::string &path) -> leaf::result<void> {
         BOOST_LEAF_AUTO(file, loadSteeringSettings(path));
-        // Numbered in the order of the names, whatever the order in the file.
+        // Data centres are numbered in alphabetical order, independent of their order in the file.
         CHECK(file.dataCentreId(file.dataCentre) == DataCentreId{1});
         CHECK(file.seeds.size() == 2);
         CHECK(file.packetListen == Endpoint{0x7f000001, 5000});
@@ -89,19 +89,19 @@
     });
 }
 
-std::string faultWith(const char *pointer, const Json &content)
+std::string errorWith(const char *pointer, const Json &content)
 {
-    Json settings = soundSettings();
+    Json settings = validSettings();
     settings[Json::json_pointer(pointer)] = content;
-    return faultOf(settings.dump());
+    return settingsError(settings.dump());
 }
 
-bool has(const std::string &text, const char *part)
+bool contains(const std::string &text, const char *part)
 {
     return text.find(part) != std::string::npos;
 }
 
-std::string bundleFault(const Json &bundle)
+std::string bundleError(const Json &bundle)
 {
     JsonFault fault;
     return parseBundle(bundle.dump(), fault) ? std::string() : fault.text();
@@ -109,92 +109,92 @@
 
 } // namespace
 
-TEST_CASE("sound settings load")
+TEST_CASE("valid settings are loaded")
 {
-    CHECK(faultOf(soundSettings().dump()).empty());
+    CHECK(settingsError(validSettings().dump()).empty());
 }
 
-TEST_CASE("bad settings are refused with the place of the fault")
+TEST_CASE("invalid settings are rejected with the location of the error")
 {
-    CHECK(has(faultWith("/balancer", 0), "/balancer"));
-    CHECK(has(faultWith("/balancer", "1"), "/balancer"));
-    CHECK(has(faultWith("/balancer", 70000), "found 70000"));
-    CHECK(has(faultWith("/dataCentre", "c"), "/dataCentre: found \"c\""));
-    CHECK(has(faultWith("/services/0/listen", "localhost:1"), "/services/0/listen"));
-    CHECK(has(faultWith("/listen/admin", "127.0.0.1:70000"), "/listen/admin"));
-    CHECK(has(faultWith("/keys/cluster", "00"), "64 hexadecimal digits"));
-    CHECK(has(faultWith("/keys/connectionIds/1", {{"version", 1}, {"key", "00000000000000000000000000000000"}}), "1 twice"));
-    CHECK(has(faultWith("/peers/1", {{"balancer", 1}, {"address", "127.0.0.1:1"}}), "1 twice"));
-    CHECK(has(faultWith("/unknown", 1), "unknown"));
-    CHECK(has(faultWith("/adminToken", "short"), "/adminToken"));
+    CHECK(contains(errorWith("/balancer", 0), "/balancer"));
+    CHECK(contains(errorWith("/balancer", "1"), "/balancer"));
+    CHECK(contains(errorWith("/balancer", 70000), "found 70000"));
+    CHECK(contains(errorWith("/dataCentre", "c"), "/dataCentre: found \"c\""));
+    CHECK(contains(errorWith("/services/0/listen", "localhost:1"), "/services/0/listen"));
+    CHECK(contains(errorWith("/listen/admin", "127.0.0.1:70000"), "/listen/admin"));
+    CHECK(contains(errorWith("/keys/cluster", "00"), "64 hexadecimal digits"));
+    CHECK(contains(errorWith("/keys/connectionIds/1", {{"version", 1}, {"key", "00000000000000000000000000000000"}}), "1 twice"));
+    CHECK(contains(errorWith("/peers/1", {{"balancer", 1}, {"address", "127.0.0.1:1"}}), "1 twice"));
+    CHECK(contains(errorWith("/unknown", 1), "unknown"));
+    CHECK(contains(errorWith("/adminToken", "short"), "/adminToken"));
 }
 
-TEST_CASE("settings of a steering node load, and bad ones are refused with the place of the fault")
+TEST_CASE("steering settings are loaded, and invalid ones are rejected with the location of the error")
 {
-    CHECK(steeringFaultOf(soundSteeringSettings()) == "");
-    const auto faultWith = [](const char *pointer, const Json &content) {
-        Json settings = soundSteeringSettings();
+    CHECK(steeringSettingsError(validSteeringSettings()) == "");
+    const auto errorWith = [](const char *pointer, const Json &content) {
+        Json settings = validSteeringSettings();
         settings[Json::json_pointer(pointer)] = content;
-        return steeringFaultOf(settings);
+        return steeringSettingsError(settings);
     };
-    CHECK(faultWith("/dataCentre", "z").find("/dataCentre") != std::string::npos);
-    CHECK(faultWith("/listen/packets", "nowhere").find("/listen/packets") != std::string::npos);
-    CHECK(faultWith("/seeds/1", "127.0.0.1").find("/seeds/1") != std::string::npos);
-    CHECK(faultWith("/linkPort", 0).find("/linkPort") != std::string::npos);
-    CHECK(faultWith("/borneDataCentres", -1).find("/borneDataCentres") != std::string::npos);
-    CHECK(faultWith("/borneLosses", -1).find("/borneLosses") != std::string::npos);
-    CHECK(faultWith("/unknown", 1) != "");
+    CHECK(errorWith("/dataCentre", "z").find("/dataCentre") != std::string::npos);
+    CHECK(errorWith("/listen/packets", "nowhere").find("/listen/packets") != std::string::npos);
+    CHECK(errorWith("/seeds/1", "127.0.0.1").find("/seeds/1") != std::string::npos);
+    CHECK(errorWith("/linkPort", 0).find("/linkPort") != std::string::npos);
+    CHECK(errorWith("/borneDataCentres", -1).find("/borneDataCentres") != std::string::npos);
+    CHECK(errorWith("/borneLosses", -1).find("/borneLosses") != std::string::npos);
+    CHECK(errorWith("/unknown", 1) != "");
 }
 
-TEST_CASE("text that is no single JSON document, or repeats a key, is refused")
+TEST_CASE("text that is not a single JSON document, or repeats a key, is rejected")
 {
-    CHECK(has(faultOf("{"), "no JSON"));
-    CHECK(has(faultOf("{} {}"), "no JSON"));
-    CHECK(has(faultOf(R"({"balancer": 1, "balancer": 2})"), "\"balancer\" twice"));
-    CHECK(has(faultOf(""), "no JSON"));
+    CHECK(contains(settingsError("{"), "no JSON"));
+    CHECK(contains(settingsError("{} {}"), "no JSON"));
+    CHECK(contains(settingsError(R"({"balancer": 1, "balancer": 2})"), "\"balancer\" twice"));
+    CHECK(contains(settingsError(""), "no JSON"));
 }
 
-TEST_CASE("bad bundles are refused with the place of the fault")
+TEST_CASE("invalid bundles are rejected with the location of the error")
 {
     Json bundle = Json::parse(R"({"formatVersion": 1, "dataCentres": [{"id": 1, "name": "a"}],
         "services": [{"id": 1, "name": "s"}], "policy": {"approvals": 1}})");
-    CHECK(bundleFault(bundle).empty());
+    CHECK(bundleError(bundle).empty());
     Json changed = bundle;
     changed["services"].push_back({{"id", 1}, {"name", "t"}});
-    CHECK(has(bundleFault(changed), "1 twice"));
+    CHECK(contains(bundleError(changed), "1 twice"));
     changed = bundle;
     changed["services"][0]["retryRatio"] = 2;
-    CHECK(has(bundleFault(changed), "/services/0/retryRatio"));
+    CHECK(contains(bundleError(changed), "/services/0/retryRatio"));
     changed = bundle;
     changed["policy"]["approvals"] = 0;
-    CHECK(has(bundleFault(changed), "/policy/approvals"));
+    CHECK(contains(bundleError(changed), "/policy/approvals"));
     changed = bundle;
     changed["formatVersion"] = 2;
-    CHECK(has(bundleFault(changed), "/formatVersion"));
+    CHECK(contains(bundleError(changed), "/formatVersion"));
 }
 
-TEST_CASE("a session is established only between holders of the key, and frames can't be played again")
+TEST_CASE("a session is established only between holders of the key, and replayed frames are rejected")
 {
     const ClusterKey key{1};
-    const auto meet = [](const ClusterKey &one, const ClusterKey &other) {
-        SecureSession dialler(one, PeerRole::Balancer, 1, true);
+    const auto canConnect = [](const ClusterKey &one, const ClusterKey &other) {
+        SecureSession initiator(one, PeerRole::Balancer, 1, true);
         SecureSession acceptor(other, PeerRole::Control, 2, false);
-        const bool helloes = dialler.receive(acceptor.hello()) == SecureSession::Event::SendProof
-            && acceptor.receive(dialler.hello()) == SecureSession::Event::SendProof;
-        return helloes && dialler.receive(acceptor.proof()) == SecureSession::Event::Established
-            && acceptor.receive(dialler.proof()) == SecureSession::Event::Established;
+        const bool hellosAccepted = initiator.receive(acceptor.hello()) == SecureSession::Event::SendProof
+            && acceptor.receive(initiator.hello()) == SecureSession::Event::SendProof;
+        return hellosAccepted && initiator.receive(acceptor.proof()) == SecureSession::Event::Established
+            && acceptor.receive(initiator.proof()) == SecureSession::Event::Established;
     };
-    CHECK(meet(key, key));
-    CHECK_FALSE(meet(key, {2}));
+    CHECK(canConnect(key, key));
+    CHECK_FALSE(canConnect(key, {2}));
 
-    SecureSession dialler(key, PeerRole::Balancer, 1, true);
+    SecureSession initiator(key, PeerRole::Balancer, 1, true);
     SecureSession acceptor(key, PeerRole::Control, 2, false);
-    dialler.receive(acceptor.hello());
-    acceptor.receive(dialler.hello());
-    const Bytes proof = dialler.proof();
+    initiator.receive(acceptor.hello());
+    acceptor.receive(initiator.hello());
+    const Bytes proof = initiator.proof();
     CHECK(acceptor.receive(proof) == SecureSession::Event::Established);
     CHECK(acceptor.peer().id == 1);
-    const Bytes frame = dialler.seal(Bytes{1, 2});
+    const Bytes frame = initiator.seal(Bytes{1, 2});
     CHECK(acceptor.receive(frame) == SecureSession::Event::Payload);
     CHECK(acceptor.payload() == Bytes{1, 2});
     CHECK(acceptor.receive(frame) == SecureSession::Event::Failed);
