--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Searches the models whole with spin, and each mutated model, which must break an assertion. Bounded: the
-# models are finite and their depth is fixed.
+# Checks each model exhaustively with spin, and each mutated model, which must violate an assertion. Terminates, as the
+# models are finite and the search depth is limited.
 set -uo pipefail
 cd "$(dirname "$0")"
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# search MODEL NAME DEFINES...: 0 if no assertion fails, 1 if one does, 2 if the search did not run whole.
+# search MODEL NAME DEFINES...: 0 if no assertion fails, 1 if one does, 2 if the search was not completed.
 search() {
     local model=$1 name=$2
     shift 2
@@ -36,13 +36,13 @@
     if [ "$got" -eq "$wanted" ]; then
         echo "ok: $name (${states:-no states})"
     else
-        echo "wrong: $name: wanted $wanted, got $got"
+        echo "failed: $name: expected $wanted, got $got"
         tail -n 5 "$work/$name"/*.log
         wrong=$((wrong + 1))
     fi
 }
 
-steps=-DSTEPS=9 # A mutation is found long before all is searched.
+steps=-DSTEPS=9 # Violations caused by a mutation are found at a small depth.
 expect 0 consensus.pml consensus -DSTEPS=8
 for mutation in VOTE_TWICE STALE_LOG NO_DEDUP WIPED_VOTES EARLY_VOTER; do
     expect 1 consensus.pml "consensus-$mutation" "$steps" "-DMUTATE_$mutation"
@@ -67,5 +67,5 @@
 for mutation in KEEP_WORD OTHER_LINK NO_WHOLE; do
     expect 1 heard.pml "heard-$mutation" "-DMUTATE_$mutation"
 done
-echo "model searches that were wrong: $wrong"
+echo "model checks that failed: $wrong"
 [ "$wrong" -eq 0 ]
--- a/tests/fuzz_corpus.sh
+++ b/tests/fuzz_corpus.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds the libFuzzer targets and runs each over its committed corpus and a fixed number of seeded inputs.
+# Builds the libFuzzer targets and runs each on its committed corpus and on a fixed number of inputs from a fixed seed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/build.sh fuzz > /dev/null
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Takes one mechanism at a time out of a copy of the tree and expects the named proof to fail. Not part of
-# CI, as it builds the library once for each mutation. Usage: tests/mutations.sh [PART-OF-A-NAME]
+# Mutation tests: disables one mechanism at a time in a copy of the tree and expects the named test cases to fail. Not part
+# of CI, as it builds the library once for each mutation. Usage: tests/mutations.sh [PART-OF-A-NAME]
 set -uo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
@@ -12,26 +12,26 @@
 
 wrong=0
 only=${1:-}
-# mutate NAME FILE FROM TO TEST-CASES: replaces one text once and runs the test cases.
+# mutate NAME FILE FROM TO TEST-CASES: replaces the first occurrence of a text in a file, then builds and runs the test cases.
 mutate() {
     local name=$1 file=$2 from=$3 to=$4 cases=$5
     [[ $name == *"$only"* ]] || return 0
     cp "$file" "$copy/original"
     FROM=$from TO=$to perl -0pi -e 's/\Q$ENV{FROM}\E/$ENV{TO}/' "$file"
     if cmp -s "$file" "$copy/original"; then
-        echo "wrong: $name: the text to replace is not there"
+        echo "failed: $name: the text to replace was not found"
         wrong=$((wrong + 1))
         return
     fi
     if ! scripts/build.sh release --target robinrail_tests > "$copy/build.log" 2>&1; then
-        echo "wrong: $name: does not build"
+        echo "failed: $name: the mutated tree does not build"
         grep -m 3 'error' "$copy/build.log"
         wrong=$((wrong + 1))
     elif timeout 300 build/release/robinrail_tests --test-case="$cases" > "$copy/run.log" 2>&1; then
-        echo "wrong: $name: the proof passes without the mechanism"
+        echo "failed: $name: the tests pass without the mechanism"
         wrong=$((wrong + 1))
     else
-        echo "ok: $name: the proof fails"
+        echo "ok: $name: the tests detect the mutation"
     fi
     cp "$copy/original" "$file"
 }
@@ -177,5 +177,5 @@
 mutate "gone: data that began elsewhere is a sign of life" src/flow_steering.cpp 'if (answered && !unheard) {' 'if (answered || unheard) {' '*its data began elsewhere*'
 mutate "choice: the least used by own counts" src/flow_steering.h 'using FlowSteering = BasicFlowSteering<TwoChoices>;' \
     'using FlowSteering = BasicFlowSteering<LeastUsedChoice>;' '*draws at most twice*'
-echo "mutations that were wrong: $wrong"
+echo "mutations that failed: $wrong"
 [ "$wrong" -eq 0 ]
--- a/tests/reproducible.sh
+++ b/tests/reproducible.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The benchmark's signature is the same twice in a row, and is the one that was given, if one was.
+# Checks that two runs of the quick benchmark print the same signature, and that it equals the argument, if one is given.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/build.sh release --target robinrail-bench > /dev/null
--- a/tests/sanitizers.sh
+++ b/tests/sanitizers.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds the unit tests with address and undefined-behaviour sanitizers and runs all but the long ones.
+# Builds the unit tests with the address and undefined-behaviour sanitizers and runs all except the long ones.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/build.sh sanitize --target robinrail_tests > /dev/null
--- a/tests/shards.sh
+++ b/tests/shards.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs each test case of a test program in a process of its own, as many at once as there are processors, and
-# prints the output of those that failed. Ends with "cases: N passed, N failed"; the order changes no verdict.
+# Runs each test case of a test program in a separate process, in parallel on all processors, and prints the output of
+# those that failed. The last line is "cases: N passed, N failed". Results do not depend on the order of execution.
 # Usage: tests/shards.sh PROGRAM [FILTER...]
 set -uo pipefail
 program=$1
@@ -15,7 +15,7 @@
     "$program" "$@" --first="$number" --last="$number" > "$work/$number" 2>&1 || touch "$work/$number.failed"
 }
 export -f run_case
-# The long cases stand in the middle of the list; the order by number is as good as any.
+# In list order: the long cases are in the middle of the list, so another order would save little.
 seq "$total" | xargs -P "$(nproc)" -I{} bash -c 'run_case "$@"' _ {} "$@"
 failed=0
 for mark in "$work"/*.failed; do
