--- a/src/balancer_api.cpp
+++ b/src/balancer_api.cpp
@@ -210,7 +210,7 @@
     Announcement announcement = target->announcement;
     announcement.draining = true;
     m_core.handleTarget(monotonicNow(), announcement.endpoint, announcement);
-    flush();
+    sendOutbox();
     return jsonReply({{"draining", value(drain.target)}});
 }
 
--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -74,10 +74,10 @@
               PeerRole::Balancer,
               value(m_settings.balancer),
               {[this](LinkHandle link, const Hello &peer) {
-                   onEstablished(link, peer);
+                   onLinkEstablished(link, peer);
                },
                [this](LinkHandle link, const Hello &, const LinkMessage &message) {
-                   onMessage(link, message);
+                   onLinkMessage(link, message);
                },
                [](LinkHandle, const Hello &) {}})
     , m_http(io,
@@ -98,11 +98,11 @@
 bool BalancerDaemon::start()
 {
     for (const ServiceListen &listen : m_settings.services) {
-        if (!bind(listen.endpoint, Port::Kind::Callers, listen.service)) {
+        if (!bind(listen.endpoint, UdpListener::Kind::Callers, listen.service)) {
             return false;
         }
     }
-    if (!bind(m_settings.targetListen, Port::Kind::Targets, {}) || !bind(m_settings.peerListen, Port::Kind::Peers, {})) {
+    if (!bind(m_settings.targetListen, UdpListener::Kind::Targets, {}) || !bind(m_settings.peerListen, UdpListener::Kind::Peers, {})) {
         return false;
     }
     if (!m_http.listen(m_settings.adminListen)) {
@@ -140,7 +140,7 @@
 {
     LogLine(LogLevel::Info, "stopping").with("flows", m_core.context().flows.size());
     m_core.stop(monotonicNow(), m_settings.shutdownLinger);
-    flush();
+    sendOutbox();
 }
 
 // Reloads the connection id keys from the settings file. Other changes of the file need a restart.
@@ -163,29 +163,29 @@
 
 // ---- Datagrams ----
 
-bool BalancerDaemon::bind(Endpoint endpoint, Port::Kind kind, std::string service)
+bool BalancerDaemon::bind(Endpoint endpoint, UdpListener::Kind kind, std::string service)
 {
-    auto port = std::make_unique<Port>(Port{Udp::socket(m_io), kind, std::move(service)});
+    auto listener = std::make_unique<UdpListener>(UdpListener{Udp::socket(m_io), kind, std::move(service)});
     boost::system::error_code error;
-    port->socket.open(Udp::v4(), error);
-    port->socket.set_option(boost::asio::socket_base::receive_buffer_size(SocketBufferBytes), error);
-    port->socket.bind(toUdp(endpoint), error);
+    listener->socket.open(Udp::v4(), error);
+    listener->socket.set_option(boost::asio::socket_base::receive_buffer_size(SocketBufferBytes), error);
+    listener->socket.bind(toUdp(endpoint), error);
     if (error) {
         LogLine(LogLevel::Error, "bind-failed").with("address", toText(endpoint)).with("detail", error.message());
         return false;
     }
-    port->socket.non_blocking(true);
-    m_targetPort = kind == Port::Kind::Targets ? port.get() : m_targetPort;
-    m_peerPort = kind == Port::Kind::Peers ? port.get() : m_peerPort;
-    m_callerPort = kind == Port::Kind::Callers ? port.get() : m_callerPort;
-    m_ports.push_back(std::move(port));
-    receive(*m_ports.back());
+    listener->socket.non_blocking(true);
+    m_targetListener = kind == UdpListener::Kind::Targets ? listener.get() : m_targetListener;
+    m_peerListener = kind == UdpListener::Kind::Peers ? listener.get() : m_peerListener;
+    m_callerListener = kind == UdpListener::Kind::Callers ? listener.get() : m_callerListener;
+    m_listeners.push_back(std::move(listener));
+    receive(*m_listeners.back());
     return true;
 }
 
-void BalancerDaemon::receive(Port &port)
+void BalancerDaemon::receive(UdpListener &listener)
 {
-    port.socket.async_wait(Udp::socket::wait_read, [this, &port](const boost::system::error_code &waitError) {
+    listener.socket.async_wait(Udp::socket::wait_read, [this, &listener](const boost::system::error_code &waitError) {
         if (waitError) {
             return;
         }
@@ -194,24 +194,24 @@
         for (int i = 0; i < MaxReadsPerWakeup; ++i) {
             Udp::endpoint from;
             boost::system::error_code error;
-            const std::size_t size = port.socket.receive_from(boost::asio::buffer(buffer), from, 0, error);
+            const std::size_t size = listener.socket.receive_from(boost::asio::buffer(buffer), from, 0, error);
             if (error == boost::asio::error::would_block) {
                 break;
             }
             if (!error) {
-                handleDatagram(port, fromUdp(from), {buffer.data(), size});
+                handleDatagram(listener, fromUdp(from), {buffer.data(), size});
             }
         }
-        flush();
-        receive(port);
+        sendOutbox();
+        receive(listener);
     });
 }
 
-void BalancerDaemon::handleDatagram(Port &port, Endpoint from, BytesView bytes)
+void BalancerDaemon::handleDatagram(UdpListener &listener, Endpoint from, BytesView bytes)
 {
     const TimePoint now = monotonicNow();
     BalancerContext &context = m_core.context();
-    if (port.kind == Port::Kind::Peers) {
+    if (listener.kind == UdpListener::Kind::Peers) {
         return handlePeerDatagram(now, from, bytes);
     }
     if (bytes.size() > MaxDatagramSize) {
@@ -221,10 +221,10 @@
     if (!message) {
         return context.reject(now, RejectReason::Malformed);
     }
-    if (port.kind == Port::Kind::Targets) {
+    if (listener.kind == UdpListener::Kind::Targets) {
         return m_core.handleTarget(now, from, *message);
     }
-    const auto service = m_serviceIds.find(port.service);
+    const auto service = m_serviceIds.find(listener.service);
     if (service == m_serviceIds.end()) {
         return context.reject(now, RejectReason::UnknownService);
     }
@@ -247,7 +247,7 @@
     m_core.handlePeer(now, from, *message);
 }
 
-void BalancerDaemon::flush()
+void BalancerDaemon::sendOutbox()
 {
     for (const Outgoing &outgoing : m_core.takeOutbox()) {
         const Bytes bytes = encodeMessage(outgoing.message);
@@ -258,12 +258,12 @@
             }
             const Bytes sealed = m_guard.seal(bytes);
             (isControlMessage(outgoing.message) ? m_controlBytes : m_relayBytes) += sealed.size();
-            sendDatagram(m_peerPort->socket, outgoing.to, sealed);
+            sendDatagram(m_peerListener->socket, outgoing.to, sealed);
             continue;
         }
         const bool toTarget = std::holds_alternative<RunRequest>(outgoing.message) || std::holds_alternative<CancelRun>(outgoing.message)
             || std::holds_alternative<AttachFeed>(outgoing.message) || std::holds_alternative<DetachFeed>(outgoing.message);
-        sendDatagram(toTarget ? m_targetPort->socket : m_callerPort->socket, outgoing.to, bytes);
+        sendDatagram(toTarget ? m_targetListener->socket : m_callerListener->socket, outgoing.to, bytes);
     }
 }
 
@@ -278,7 +278,7 @@
     const TimePoint now = monotonicNow();
     m_links.tick(now);
     m_core.tick(now);
-    flush();
+    sendOutbox();
     if (m_core.finished(now)) {
         LogLine(LogLevel::Info, "stopped").with("handed-over", m_core.context().counters.flowsHandedOver);
         m_io.stop();
@@ -294,7 +294,7 @@
 
 // ---- Bundles ----
 
-void BalancerDaemon::onEstablished(LinkHandle link, const Hello &peer)
+void BalancerDaemon::onLinkEstablished(LinkHandle link, const Hello &peer)
 {
     if (peer.role == PeerRole::Control) {
         subscribe(link);
@@ -306,7 +306,7 @@
     m_links.send(link, Subscribe{{m_settings.balancer, m_persisted.incarnation}, m_rollout.version()});
 }
 
-void BalancerDaemon::onMessage(LinkHandle link, const LinkMessage &message)
+void BalancerDaemon::onLinkMessage(LinkHandle link, const LinkMessage &message)
 {
     if (const auto *offer = std::get_if<BundleOffer>(&message)) {
         handleBundleOffer(link, *offer);
--- a/src/balancer_daemon.h
+++ b/src/balancer_daemon.h
@@ -51,7 +51,7 @@
 
 private:
     // A bound UDP socket and the kind of senders that it serves.
-    struct Port {
+    struct UdpListener {
         enum class Kind : std::uint8_t {
             Callers,
             Targets,
@@ -62,19 +62,19 @@
         std::string service; // Set if kind is Callers.
     };
 
-    bool bind(Endpoint endpoint, Port::Kind kind, std::string service);
-    void receive(Port &port);
-    void handleDatagram(Port &port, Endpoint from, BytesView bytes);
+    bool bind(Endpoint endpoint, UdpListener::Kind kind, std::string service);
+    void receive(UdpListener &listener);
+    void handleDatagram(UdpListener &listener, Endpoint from, BytesView bytes);
     void handlePeerDatagram(TimePoint now, Endpoint from, BytesView bytes);
-    void flush();
+    void sendOutbox();
     void sendDatagram(boost::asio::ip::udp::socket &socket, Endpoint to, BytesView bytes);
     void tick();
     void stop();
     void reloadKeys();
     void waitForSignal();
 
-    void onEstablished(LinkHandle link, const Hello &peer);
-    void onMessage(LinkHandle link, const LinkMessage &message);
+    void onLinkEstablished(LinkHandle link, const Hello &peer);
+    void onLinkMessage(LinkHandle link, const LinkMessage &message);
     void handleBundleOffer(LinkHandle link, const BundleOffer &offer);
     void applyBundle();
     bool persistBundle();
@@ -102,10 +102,10 @@
     HttpServer m_http;
     boost::asio::steady_timer m_timer;
     boost::asio::signal_set m_signals;
-    std::vector<std::unique_ptr<Port>> m_ports;
-    Port *m_targetPort = nullptr;
-    Port *m_peerPort = nullptr;
-    Port *m_callerPort = nullptr;
+    std::vector<std::unique_ptr<UdpListener>> m_listeners;
+    UdpListener *m_targetListener = nullptr;
+    UdpListener *m_peerListener = nullptr;
+    UdpListener *m_callerListener = nullptr;
     std::map<std::string, ServiceId> m_serviceIds;
     std::map<Endpoint, BalancerId> m_peerEndpoints;
     std::set<BalancerId> m_blockedPeers; // Traffic with these is dropped; set by tests through the API.
