--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -112,18 +112,18 @@
     return log;
 }
 
-void readDataCentre(SettingsReader &reader, BalancerDaemonSettings &file)
+void readDataCentre(SettingsReader &reader, BalancerDaemonSettings &settings)
 {
     const auto declared = reader.at("/dataCentres").get<std::vector<std::string>>();
-    file.dataCentre = reader.at("/dataCentre").get<std::string>();
-    const auto at = std::find(declared.begin(), declared.end(), file.dataCentre);
+    settings.dataCentre = reader.at("/dataCentre").get<std::string>();
+    const auto at = std::find(declared.begin(), declared.end(), settings.dataCentre);
     if (at == declared.end()) {
-        reader.fail("/dataCentre", "\"" + file.dataCentre + "\"", "one of the data centres in /dataCentres");
+        reader.fail("/dataCentre", "\"" + settings.dataCentre + "\"", "one of the data centres in /dataCentres");
     }
-    file.dataCentreId = DataCentreId{static_cast<std::uint8_t>(at - declared.begin() + 1)};
+    settings.dataCentreId = DataCentreId{static_cast<std::uint8_t>(at - declared.begin() + 1)};
 }
 
-void readPeers(SettingsReader &reader, BalancerDaemonSettings &file)
+void readPeers(SettingsReader &reader, BalancerDaemonSettings &settings)
 {
     std::set<BalancerId> seen;
     for (std::size_t i = 0; i < reader.at("/peers").size(); ++i) {
@@ -133,11 +133,11 @@
         if (!seen.insert(peer.id).second) {
             reader.fail(elementPointer("/peers", i, "balancer"), std::to_string(value(peer.id)) + " twice", "each balancer once");
         }
-        file.peers.push_back(peer);
+        settings.peers.push_back(peer);
     }
 }
 
-void readConnectionIdKeys(SettingsReader &reader, BalancerDaemonSettings &file)
+void readConnectionIdKeys(SettingsReader &reader, BalancerDaemonSettings &settings)
 {
     std::set<std::uint8_t> seen;
     for (std::size_t i = 0; i < reader.at("/keys/connectionIds").size(); ++i) {
@@ -147,7 +147,7 @@
         if (!seen.insert(key.version).second) {
             reader.fail(elementPointer("/keys/connectionIds", i, "version"), std::to_string(key.version) + " twice", "each key version once");
         }
-        file.connectionIdKeys.push_back(key);
+        settings.connectionIdKeys.push_back(key);
     }
 }
 
@@ -162,68 +162,68 @@
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, balancerSettingsSchema()));
     SettingsReader reader(document);
-    BalancerDaemonSettings file;
-    file.balancer = BalancerId{reader.at("/balancer").get<std::uint16_t>()};
-    readDataCentre(reader, file);
+    BalancerDaemonSettings settings;
+    settings.balancer = BalancerId{reader.at("/balancer").get<std::uint16_t>()};
+    readDataCentre(reader, settings);
     for (std::size_t i = 0; i < reader.at("/services").size(); ++i) {
-        file.services.push_back(
+        settings.services.push_back(
             {reader.at(elementPointer("/services", i, "name")).get<std::string>(), reader.endpoint(elementPointer("/services", i, "listen"))});
     }
-    file.peerListen = reader.endpoint("/listen/peers");
-    file.targetListen = reader.endpoint("/listen/targets");
-    file.adminListen = reader.endpoint("/listen/admin");
-    readPeers(reader, file);
+    settings.peerListen = reader.endpoint("/listen/peers");
+    settings.targetListen = reader.endpoint("/listen/targets");
+    settings.adminListen = reader.endpoint("/listen/admin");
+    readPeers(reader, settings);
     for (std::size_t i = 0; i < reader.at("/control").size(); ++i) {
-        file.control.push_back(reader.endpoint("/control/" + std::to_string(i)));
+        settings.control.push_back(reader.endpoint("/control/" + std::to_string(i)));
     }
-    file.clusterKey = reader.key<32>("/keys/cluster");
-    readConnectionIdKeys(reader, file);
-    file.adminToken = reader.at("/adminToken").get<std::string>();
-    file.dataFolder = document.value("dataFolder", "");
-    file.shutdownLinger = std::chrono::milliseconds(document.value("lingerMs", 8000));
-    file.log = readLogSettings(document);
+    settings.clusterKey = reader.key<32>("/keys/cluster");
+    readConnectionIdKeys(reader, settings);
+    settings.adminToken = reader.at("/adminToken").get<std::string>();
+    settings.dataFolder = document.value("dataFolder", "");
+    settings.shutdownLinger = std::chrono::milliseconds(document.value("lingerMs", 8000));
+    settings.log = readLogSettings(document);
     if (reader.fault()) {
         return invalid(path, *reader.fault());
     }
-    return file;
+    return settings;
 }
 
 leaf::result<ControlDaemonSettings> loadControlSettings(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, controlSettingsSchema()));
     SettingsReader reader(document);
-    ControlDaemonSettings file;
-    file.replica = ReplicaId{reader.at("/replica").get<std::uint16_t>()};
-    file.listen = reader.endpoint("/listen/links");
-    file.adminListen = reader.endpoint("/listen/admin");
+    ControlDaemonSettings settings;
+    settings.replica = ReplicaId{reader.at("/replica").get<std::uint16_t>()};
+    settings.listen = reader.endpoint("/listen/links");
+    settings.adminListen = reader.endpoint("/listen/admin");
     bool listsItself = false;
     for (std::size_t i = 0; i < reader.at("/replicas").size(); ++i) {
         ReplicaAddress address;
         address.id = ReplicaId{reader.at(elementPointer("/replicas", i, "replica")).get<std::uint16_t>()};
         address.endpoint = reader.endpoint(elementPointer("/replicas", i, "links"));
         address.admin = reader.endpoint(elementPointer("/replicas", i, "admin"));
-        listsItself = listsItself || address.id == file.replica;
-        file.replicas.push_back(address);
+        listsItself = listsItself || address.id == settings.replica;
+        settings.replicas.push_back(address);
     }
     if (!listsItself) {
-        reader.fail("/replica", std::to_string(value(file.replica)), "one of the replicas in /replicas");
+        reader.fail("/replica", std::to_string(value(settings.replica)), "one of the replicas in /replicas");
     }
-    file.clusterKey = reader.key<32>("/keys/cluster");
-    file.adminToken = reader.at("/adminToken").get<std::string>();
-    file.dataFolder = reader.at("/dataFolder").get<std::string>();
+    settings.clusterKey = reader.key<32>("/keys/cluster");
+    settings.adminToken = reader.at("/adminToken").get<std::string>();
+    settings.dataFolder = reader.at("/dataFolder").get<std::string>();
     for (std::size_t i = 0; i < reader.at("/firstOperators").size(); ++i) {
         OperatorRecord record;
         record.name = reader.at(elementPointer("/firstOperators", i, "name")).get<std::string>();
         record.key = reader.key<32>(elementPointer("/firstOperators", i, "key"));
         const bool administrator = reader.at(elementPointer("/firstOperators", i, "role")).get<std::string>() == "administrator";
         record.role = administrator ? OperatorRole::Administrator : OperatorRole::Author;
-        file.firstOperators.push_back(record);
+        settings.firstOperators.push_back(record);
     }
-    file.log = readLogSettings(document);
+    settings.log = readLogSettings(document);
     if (reader.fault()) {
         return invalid(path, *reader.fault());
     }
-    return file;
+    return settings;
 }
 
 DataCentreId SteeringSettings::dataCentreId(std::string_view name) const
@@ -241,35 +241,35 @@
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, steeringSettingsSchema()));
     SettingsReader reader(document);
-    SteeringSettings file;
-    file.node = reader.at("/node").get<std::string>();
-    file.dataCentre = reader.at("/dataCentre").get<std::string>();
-    file.dataCentres = reader.at("/dataCentres").get<std::vector<std::string>>();
-    std::sort(file.dataCentres.begin(), file.dataCentres.end());
-    if (value(file.dataCentreId(file.dataCentre)) == 0) {
-        reader.fail("/dataCentre", file.dataCentre, "one of the names in /dataCentres");
+    SteeringSettings settings;
+    settings.node = reader.at("/node").get<std::string>();
+    settings.dataCentre = reader.at("/dataCentre").get<std::string>();
+    settings.dataCentres = reader.at("/dataCentres").get<std::vector<std::string>>();
+    std::sort(settings.dataCentres.begin(), settings.dataCentres.end());
+    if (value(settings.dataCentreId(settings.dataCentre)) == 0) {
+        reader.fail("/dataCentre", settings.dataCentre, "one of the names in /dataCentres");
     }
-    file.adminListen = reader.endpoint("/listen/admin");
+    settings.adminListen = reader.endpoint("/listen/admin");
     if (reader.at("/listen").contains("packets")) {
-        file.packetListen = reader.endpoint("/listen/packets");
+        settings.packetListen = reader.endpoint("/listen/packets");
     }
     for (std::size_t i = 0; i < reader.at("/seeds").size(); ++i) {
-        file.seeds.push_back(reader.endpoint("/seeds/" + std::to_string(i)));
+        settings.seeds.push_back(reader.endpoint("/seeds/" + std::to_string(i)));
     }
-    file.linkPort = reader.at("/linkPort").get<std::uint16_t>();
-    file.linkListenPort = document.value("linkListenPort", file.linkPort);
-    file.firstStart = document.value("firstStart", false);
-    file.announceInterval = std::chrono::milliseconds(reader.at("/announceIntervalMs").get<int>());
-    file.maxLostReplicas = reader.at("/borneLosses").get<std::size_t>();
-    file.maxLostDataCentres = document.value("borneDataCentres", std::size_t{0});
-    file.drainTimeout = std::chrono::milliseconds(reader.at("/drainMs").get<std::int64_t>());
-    file.stopGracePeriod = std::chrono::milliseconds(reader.at("/graceMs").get<std::int64_t>());
-    file.dataFolder = document.value("dataFolder", "");
-    file.log = readLogSettings(document);
+    settings.linkPort = reader.at("/linkPort").get<std::uint16_t>();
+    settings.linkListenPort = document.value("linkListenPort", settings.linkPort);
+    settings.firstStart = document.value("firstStart", false);
+    settings.announceInterval = std::chrono::milliseconds(reader.at("/announceIntervalMs").get<int>());
+    settings.maxLostReplicas = reader.at("/borneLosses").get<std::size_t>();
+    settings.maxLostDataCentres = document.value("borneDataCentres", std::size_t{0});
+    settings.drainTimeout = std::chrono::milliseconds(reader.at("/drainMs").get<std::int64_t>());
+    settings.stopGracePeriod = std::chrono::milliseconds(reader.at("/graceMs").get<std::int64_t>());
+    settings.dataFolder = document.value("dataFolder", "");
+    settings.log = readLogSettings(document);
     if (reader.fault()) {
         return invalid(path, *reader.fault());
     }
-    return file;
+    return settings;
 }
 
 std::optional<Endpoint> parseEndpoint(std::string_view text)
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -44,9 +44,9 @@
 
 SteeringSettings steeringSettings()
 {
-    SteeringSettings file;
-    file.dataCentres = {"lalit", "thamel"};
-    return file;
+    SteeringSettings settings;
+    settings.dataCentres = {"lalit", "thamel"};
+    return settings;
 }
 
 } // namespace
