--- a/src/balancer_daemon.h
+++ b/src/balancer_daemon.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Balancer daemon: sockets, files and timers around a balancer core.
+// Balancer daemon: connects a BalancerCore to sockets, files and timers.
 #pragma once
 
 #include "balancer_core.h"
@@ -21,14 +21,14 @@
 
 namespace Robinrail {
 
-// Events that are kept for watchers.
-inline constexpr std::size_t MaxKeptEvents = 20'000;
+// Most recent events that are retained for clients of the events API.
+inline constexpr std::size_t MaxRetainedEvents = 20'000;
 
-// Datagrams that are read from one socket before other work has its turn.
-inline constexpr int MaxReadsPerTurn = 256;
+// Datagrams read from one socket per wake-up, so that other handlers are not starved.
+inline constexpr int MaxReadsPerWakeup = 256;
 
-// What a balancer keeps in its data folder.
-struct BalancerMemory {
+// State that a balancer stores in its data folder.
+struct PersistedBalancerState {
     Incarnation incarnation{};
     std::uint64_t bundleVersion = 0;
     std::string bundle;
@@ -42,15 +42,16 @@
 class BalancerDaemon
 {
 public:
-    // `memory` is what was kept from the run before, with this run's incarnation.
-    BalancerDaemon(boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerFile file, BalancerMemory memory, bool testFaults);
+    // `state` is the stored state of the previous run with the incarnation of this run.
+    BalancerDaemon(
+        boost::asio::io_context &io, std::filesystem::path settingsPath, BalancerDaemonSettings settings, PersistedBalancerState state, bool testFaults);
 
-    // Binds and begins; false if an address can't be bound.
+    // Binds all addresses and starts the timers; false if an address can't be bound.
     bool start();
 
 private:
-    // One UDP socket and what arrives on it.
-    struct Port {
+    // A bound UDP socket and the kind of senders that it serves.
+    struct UdpListener {
         enum class Kind : std::uint8_t {
             Callers,
             Targets,
@@ -58,30 +59,30 @@
         };
         boost::asio::ip::udp::socket socket;
         Kind kind = Kind::Callers;
-        std::string service; // For callers.
+        std::string service; // Set if kind is Callers.
     };
 
-    bool bind(Endpoint endpoint, Port::Kind kind, std::string service);
-    void receive(Port &port);
-    void take(Port &port, Endpoint from, BytesView bytes);
-    void takePeer(TimePoint now, Endpoint from, BytesView bytes);
-    void flush();
+    bool bind(Endpoint endpoint, UdpListener::Kind kind, std::string service);
+    void receive(UdpListener &listener);
+    void handleDatagram(UdpListener &listener, Endpoint from, BytesView bytes);
+    void handlePeerDatagram(TimePoint now, Endpoint from, BytesView bytes);
+    void sendOutbox();
     void sendDatagram(boost::asio::ip::udp::socket &socket, Endpoint to, BytesView bytes);
     void tick();
     void stop();
     void reloadKeys();
-    void awaitSignal();
+    void waitForSignal();
 
-    void onEstablished(LinkHandle link, const Hello &peer);
-    void onMessage(LinkHandle link, const LinkMessage &message);
-    void takeOffer(LinkHandle link, const BundleOffer &offer);
+    void onLinkEstablished(LinkHandle link, const Hello &peer);
+    void onLinkMessage(LinkHandle link, const LinkMessage &message);
+    void handleBundleOffer(LinkHandle link, const BundleOffer &offer);
     void applyBundle();
-    bool keep();
+    bool persistBundle();
     void subscribe(LinkHandle link);
 
-    void observe(const Event &event);
+    void recordEvent(const Event &event);
     void handleHttp(const HttpRequest &request, const HttpResponder &respond);
-    HttpResponse read(const HttpRequest &request);
+    HttpResponse handleGet(const HttpRequest &request);
     HttpResponse drain(const HttpRequest &request);
     HttpResponse explainFlow(std::string_view id);
     HttpResponse events(const HttpRequest &request) const;
@@ -91,8 +92,8 @@
 
     boost::asio::io_context &m_io;
     std::filesystem::path m_settingsPath;
-    BalancerFile m_file;
-    BalancerMemory m_memory;
+    BalancerDaemonSettings m_settings;
+    PersistedBalancerState m_persisted;
     bool m_testFaults;
     BalancerCore<PartitionedSlots> m_core;
     DatagramAuthenticator m_guard;
@@ -101,21 +102,21 @@
     HttpServer m_http;
     boost::asio::steady_timer m_timer;
     boost::asio::signal_set m_signals;
-    std::vector<std::unique_ptr<Port>> m_ports;
-    Port *m_targetPort = nullptr;
-    Port *m_peerPort = nullptr;
-    Port *m_callerPort = nullptr;
+    std::vector<std::unique_ptr<UdpListener>> m_listeners;
+    UdpListener *m_targetListener = nullptr;
+    UdpListener *m_peerListener = nullptr;
+    UdpListener *m_callerListener = nullptr;
     std::map<std::string, ServiceId> m_serviceIds;
     std::map<Endpoint, BalancerId> m_peerEndpoints;
-    std::set<BalancerId> m_droppedPeers; // For tests of failures.
+    std::set<BalancerId> m_blockedPeers; // Traffic with these is dropped; set by tests through the API.
     std::deque<Event> m_events;
-    std::uint64_t m_lastEvent = 0;
-    LatencyHistogram m_latency;
+    std::uint64_t m_lastEventNumber = 0;
+    LatencyHistogram m_attemptLatency;
     std::uint64_t m_controlBytes = 0;
     std::uint64_t m_relayBytes = 0;
 };
 
-// Reads what the run before kept and takes a higher incarnation, synced before it is used.
-boost::leaf::result<BalancerMemory> openBalancerMemory(const std::filesystem::path &folder);
+// Loads the state of the previous run and raises its incarnation, which is synced to disk before it is used.
+boost::leaf::result<PersistedBalancerState> startNewIncarnation(const std::filesystem::path &folder);
 
 } // namespace Robinrail
--- a/src/link_traffic.h
+++ b/src/link_traffic.h
@@ -35,7 +35,7 @@
     std::uint64_t bytes(LinkDirection direction, LinkDistance distance) const;
 
     // Writes the counters of messages and bytes, labelled by kind, direction and distance.
-    void writeMetrics(MetricsText &text) const;
+    void writeMetrics(PrometheusWriter &text) const;
 
     // Writes one log line: bytes by direction and distance, then messages and bytes of each kind that occurred.
     void log() const;
--- a/src/node_links.h
+++ b/src/node_links.h
@@ -70,7 +70,7 @@
     std::vector<LinkHandle> dialled() const;
 
     // Writes the metrics of the links and of their traffic.
-    void writeMetrics(MetricsText &text) const;
+    void writeMetrics(PrometheusWriter &text) const;
 
     // Writes a log line with the traffic of the links so far; tick() does so periodically.
     void logTraffic() const;
@@ -114,7 +114,7 @@
     LinkTraffic m_traffic;
     TimePoint m_trafficLogDue;
     std::uint64_t m_refused = 0; // Links closed by this node: above MaxNodeLinks, or after an undecodable message.
-    LogBudget m_refusedLog;
+    LogRateLimiter m_refusedLog;
     WebsocketHub m_hub;
 };
 
--- a/src/replica_folder.cpp
+++ b/src/replica_folder.cpp
@@ -40,7 +40,7 @@
 }
 
 // At the first start of a deployment, the seeds are the voters and each writes the same initial log.
-leaf::result<RaftStorage> bootstrapCluster(RaftStorage storage, const SteeringFile &file, ReplicaId self)
+leaf::result<RaftStorage> bootstrapCluster(RaftStorage storage, const SteeringSettings &file, ReplicaId self)
 {
     std::vector<ReplicaKey> voters;
     for (const Endpoint &seed : file.seeds) {
@@ -62,7 +62,7 @@
 
 } // namespace
 
-leaf::result<RaftStorage> openReplicaStorage(const SteeringFile &file, ReplicaId self)
+leaf::result<RaftStorage> openReplicaStorage(const SteeringSettings &file, ReplicaId self)
 {
     const std::uint64_t disk = file.firstStart ? BootstrapDisk : randomDiskNumber();
     BOOST_LEAF_AUTO(storage, RaftStorage::open(file.dataFolder, self, disk));
--- a/src/replica_folder.h
+++ b/src/replica_folder.h
@@ -10,7 +10,7 @@
 namespace Robinrail {
 
 // Opens the storage of a replica, bootstrapping the cluster if needed; fails with StorageError and StorageContext.
-boost::leaf::result<RaftStorage> openReplicaStorage(const SteeringFile &file, ReplicaId self);
+boost::leaf::result<RaftStorage> openReplicaStorage(const SteeringSettings &file, ReplicaId self);
 
 // Recovery notes for the given disk number; empty if there are none, they belong to another disk or they can't
 // be read, which is safe but delays recovery.
--- a/src/replica_members.cpp
+++ b/src/replica_members.cpp
@@ -152,7 +152,7 @@
 }
 
 // The metrics distinguish a member that lags from one that is unreachable.
-void ReplicaNode::addRaftMetrics(MetricsText &text) const
+void ReplicaNode::addRaftMetrics(PrometheusWriter &text) const
 {
     const bool leads = m_driver && raft().role() == RaftRole::Leader;
     text.gauge("robinrail_replica_leader", "1 if this replica leads", leads ? 1 : 0);
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -23,18 +23,18 @@
 // File name of the recovery notes in the data folder.
 constexpr const char *NotesFile = "notes";
 
-RaftPolicy policyOf(const SteeringFile &file)
+RaftPolicy policyOf(const SteeringSettings &file)
 {
     RaftPolicy policy;
-    policy.desiredVoters = 2 * file.borneLosses + 1;
-    policy.minCopies = file.borneLosses + 1;
+    policy.desiredVoters = 2 * file.maxLostReplicas + 1;
+    policy.minCopies = file.maxLostReplicas + 1;
     policy.voterTimeout = VoterReplacementTimeout;
     return policy;
 }
 
 } // namespace
 
-ReplicaNode::ReplicaNode(boost::asio::io_context &io, SteeringFile file)
+ReplicaNode::ReplicaNode(boost::asio::io_context &io, SteeringSettings file)
     : m_io(io)
     , m_file(std::move(file))
     , m_self(ReplicaId{m_file.adminListen.address})
@@ -50,7 +50,7 @@
                [this](LinkHandle link, const NodeHello &peer) {
                    onClosed(link, peer);
                }})
-    , m_targets(m_links, monotonicNow(), ownPlace(), m_file.announceInterval, m_file.borneLoss())
+    , m_targets(m_links, monotonicNow(), ownPlace(), m_file.announceInterval, m_file.lossTolerance())
     , m_prober(io)
     , m_notes(m_file.dataFolder / NotesFile)
     , m_timer(io)
@@ -74,7 +74,7 @@
     return true;
 }
 
-void ReplicaNode::reload(const SteeringFile &file)
+void ReplicaNode::reload(const SteeringSettings &file)
 {
     m_file.seeds = file.seeds;
     m_links.maintain(knownReplicas(), m_file.linkPort);
@@ -373,7 +373,7 @@
     if (peer.role == NodeRole::Replica) {
         return probe(list);
     }
-    const std::size_t probers = 2 * m_file.borneLosses + 1; // Enough remain after the number of losses that must be tolerated.
+    const std::size_t probers = 2 * m_file.maxLostReplicas + 1; // Enough remain after the number of losses that must be tolerated.
     const std::vector<ReplicaLocation> reachable = reachableReplicas();
     std::map<ReplicaId, TargetsUnanswered> shares;
     for (const TargetKey key : list.keys) {
@@ -434,7 +434,7 @@
     return m_driver->core().raft();
 }
 
-const SteeringFile &ReplicaNode::settings() const
+const SteeringSettings &ReplicaNode::settings() const
 {
     return m_file;
 }
@@ -448,7 +448,7 @@
 
 std::string ReplicaNode::metricsText() const
 {
-    MetricsText text;
+    PrometheusWriter text;
     addRaftMetrics(text);
     text.gauge("robinrail_routing_version", "Version of the routing document in force", static_cast<double>(document().table.version));
     text.gauge("robinrail_drained_data_centres", "Data centres that get no new flows", static_cast<double>(drains().drained().size()));
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -53,13 +53,13 @@
     using Respond = std::function<void(CallOutcome)>;
 
     // `file` must have a data folder.
-    ReplicaNode(boost::asio::io_context &io, SteeringFile file);
+    ReplicaNode(boost::asio::io_context &io, SteeringSettings file);
 
     // Opens the storage, listens for links and starts the timer; false if the address can't be bound.
     bool start();
 
     // Applies changed settings; only the seeds can be changed at run time.
-    void reload(const SteeringFile &file);
+    void reload(const SteeringSettings &file);
 
     // Logs that the process is stopping, and the link traffic so far.
     void beginStop();
@@ -89,7 +89,7 @@
 
     const RoutingDocument &document() const;
     const DataCentreDrains &drains() const;
-    const SteeringFile &settings() const;
+    const SteeringSettings &settings() const;
 
     // Admin endpoint of the leader; port 0 if the leader is unknown or is this replica.
     Endpoint leaderAdmin() const;
@@ -110,7 +110,7 @@
     void sendRaft(const RaftSend &send);
     LinkHandle linkFor(ReplicaId replica);
     void updateLagState(TimePoint now);
-    void addRaftMetrics(MetricsText &text) const;
+    void addRaftMetrics(PrometheusWriter &text) const;
     void completeCall(const Driver::Core::Reply &reply);
     void requestJoin(TimePoint now);
     void sendPeriodicUpdate(TimePoint now);
@@ -138,7 +138,7 @@
     std::set<ReplicaId> knownReplicas() const;
 
     boost::asio::io_context &m_io;
-    SteeringFile m_file;
+    SteeringSettings m_file;
     ReplicaId m_self;
     std::optional<Driver> m_driver; // Empty while the storage can't be opened or after it failed.
     TimePoint m_nextStorageAttempt;
@@ -165,9 +165,9 @@
     ReachabilityTracker m_reachability;
     bool m_lagging = false; // In contact with the leader without having all committed entries, as of the last update.
     std::uint64_t m_refusedMessages = 0; // Raft messages.
-    LogBudget m_unreadableLogBudget;
+    LogRateLimiter m_unreadableLogBudget;
     std::uint64_t m_refusedCalls = 0;
-    LogBudget m_refusedLogBudget;
+    LogRateLimiter m_refusedLogBudget;
     std::uint64_t m_changes = 0;
     LatencyHistogram m_commitTimes;
     std::uint64_t m_storageFailures = 0;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Settings: schema check first, then the checks that a schema can't express.
+// Settings: a file is validated against its schema, then against the rules that a schema can't express.
 #include "settings.h"
 
 #include "durable_file.h"
@@ -45,11 +45,11 @@
     return *document;
 }
 
-// Reads values out of a checked document and keeps the first fault.
-class Reader
+// Extracts values from a document that matches its schema, and keeps the first error.
+class SettingsReader
 {
 public:
-    explicit Reader(const Json &document)
+    explicit SettingsReader(const Json &document)
         : m_document(document)
     {
     }
@@ -73,7 +73,7 @@
     {
         std::array<std::uint8_t, N> bytes{};
         if (!fromHex(at(pointer).get<std::string>(), bytes)) {
-            fail(pointer, "a text that is not a key", std::to_string(N * 2) + " hexadecimal digits");
+            fail(pointer, "a string that is not a key", std::to_string(N * 2) + " hexadecimal digits");
         }
         return bytes;
     }
@@ -95,12 +95,12 @@
     std::optional<JsonError> m_fault;
 };
 
-std::string indexed(const char *list, std::size_t index, const char *key)
+std::string elementPointer(const char *list, std::size_t index, const char *key)
 {
     return std::string(list) + "/" + std::to_string(index) + "/" + key;
 }
 
-LogSettings readLog(const Json &document)
+LogSettings readLogSettings(const Json &document)
 {
     LogSettings log;
     if (!document.contains("log")) {
@@ -112,42 +112,42 @@
     return log;
 }
 
-void readDataCentre(Reader &reader, BalancerFile &file)
+void readDataCentre(SettingsReader &reader, BalancerDaemonSettings &settings)
 {
     const auto declared = reader.at("/dataCentres").get<std::vector<std::string>>();
-    file.dataCentre = reader.at("/dataCentre").get<std::string>();
-    const auto at = std::find(declared.begin(), declared.end(), file.dataCentre);
+    settings.dataCentre = reader.at("/dataCentre").get<std::string>();
+    const auto at = std::find(declared.begin(), declared.end(), settings.dataCentre);
     if (at == declared.end()) {
-        reader.fail("/dataCentre", "\"" + file.dataCentre + "\"", "one of the data centres in /dataCentres");
+        reader.fail("/dataCentre", "\"" + settings.dataCentre + "\"", "one of the data centres in /dataCentres");
     }
-    file.dataCentreId = DataCentreId{static_cast<std::uint8_t>(at - declared.begin() + 1)};
+    settings.dataCentreId = DataCentreId{static_cast<std::uint8_t>(at - declared.begin() + 1)};
 }
 
-void readPeers(Reader &reader, BalancerFile &file)
+void readPeers(SettingsReader &reader, BalancerDaemonSettings &settings)
 {
     std::set<BalancerId> seen;
     for (std::size_t i = 0; i < reader.at("/peers").size(); ++i) {
         PeerAddress peer;
-        peer.id = BalancerId{reader.at(indexed("/peers", i, "balancer")).get<std::uint16_t>()};
-        peer.endpoint = reader.endpoint(indexed("/peers", i, "address"));
+        peer.id = BalancerId{reader.at(elementPointer("/peers", i, "balancer")).get<std::uint16_t>()};
+        peer.endpoint = reader.endpoint(elementPointer("/peers", i, "address"));
         if (!seen.insert(peer.id).second) {
-            reader.fail(indexed("/peers", i, "balancer"), std::to_string(value(peer.id)) + " twice", "each balancer once");
+            reader.fail(elementPointer("/peers", i, "balancer"), std::to_string(value(peer.id)) + " twice", "each balancer once");
         }
-        file.peers.push_back(peer);
+        settings.peers.push_back(peer);
     }
 }
 
-void readConnectionIdKeys(Reader &reader, BalancerFile &file)
+void readConnectionIdKeys(SettingsReader &reader, BalancerDaemonSettings &settings)
 {
     std::set<std::uint8_t> seen;
     for (std::size_t i = 0; i < reader.at("/keys/connectionIds").size(); ++i) {
         VersionedMacKey key;
-        key.version = reader.at(indexed("/keys/connectionIds", i, "version")).get<std::uint8_t>();
-        key.key = reader.key<16>(indexed("/keys/connectionIds", i, "key"));
+        key.version = reader.at(elementPointer("/keys/connectionIds", i, "version")).get<std::uint8_t>();
+        key.key = reader.key<16>(elementPointer("/keys/connectionIds", i, "key"));
         if (!seen.insert(key.version).second) {
-            reader.fail(indexed("/keys/connectionIds", i, "version"), std::to_string(key.version) + " twice", "each key version once");
+            reader.fail(elementPointer("/keys/connectionIds", i, "version"), std::to_string(key.version) + " twice", "each key version once");
         }
-        file.connectionIdKeys.push_back(key);
+        settings.connectionIdKeys.push_back(key);
     }
 }
 
@@ -158,117 +158,118 @@
     return file + ": " + fault.text();
 }
 
-leaf::result<BalancerFile> loadBalancerFile(const std::filesystem::path &path)
+leaf::result<BalancerDaemonSettings> loadBalancerSettings(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, balancerSettingsSchema()));
-    Reader reader(document);
-    BalancerFile file;
-    file.balancer = BalancerId{reader.at("/balancer").get<std::uint16_t>()};
-    readDataCentre(reader, file);
+    SettingsReader reader(document);
+    BalancerDaemonSettings settings;
+    settings.balancer = BalancerId{reader.at("/balancer").get<std::uint16_t>()};
+    readDataCentre(reader, settings);
     for (std::size_t i = 0; i < reader.at("/services").size(); ++i) {
-        file.services.push_back({reader.at(indexed("/services", i, "name")).get<std::string>(), reader.endpoint(indexed("/services", i, "listen"))});
+        settings.services.push_back(
+            {reader.at(elementPointer("/services", i, "name")).get<std::string>(), reader.endpoint(elementPointer("/services", i, "listen"))});
     }
-    file.peerListen = reader.endpoint("/listen/peers");
-    file.targetListen = reader.endpoint("/listen/targets");
-    file.adminListen = reader.endpoint("/listen/admin");
-    readPeers(reader, file);
+    settings.peerListen = reader.endpoint("/listen/peers");
+    settings.targetListen = reader.endpoint("/listen/targets");
+    settings.adminListen = reader.endpoint("/listen/admin");
+    readPeers(reader, settings);
     for (std::size_t i = 0; i < reader.at("/control").size(); ++i) {
-        file.control.push_back(reader.endpoint("/control/" + std::to_string(i)));
+        settings.control.push_back(reader.endpoint("/control/" + std::to_string(i)));
     }
-    file.clusterKey = reader.key<32>("/keys/cluster");
-    readConnectionIdKeys(reader, file);
-    file.adminToken = reader.at("/adminToken").get<std::string>();
-    file.dataFolder = document.value("dataFolder", "");
-    file.linger = std::chrono::milliseconds(document.value("lingerMs", 8000));
-    file.log = readLog(document);
+    settings.clusterKey = reader.key<32>("/keys/cluster");
+    readConnectionIdKeys(reader, settings);
+    settings.adminToken = reader.at("/adminToken").get<std::string>();
+    settings.dataFolder = document.value("dataFolder", "");
+    settings.shutdownLinger = std::chrono::milliseconds(document.value("lingerMs", 8000));
+    settings.log = readLogSettings(document);
     if (reader.fault()) {
         return invalid(path, *reader.fault());
     }
-    return file;
+    return settings;
 }
 
-leaf::result<ControlFile> loadControlFile(const std::filesystem::path &path)
+leaf::result<ControlDaemonSettings> loadControlSettings(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, controlSettingsSchema()));
-    Reader reader(document);
-    ControlFile file;
-    file.replica = ReplicaId{reader.at("/replica").get<std::uint16_t>()};
-    file.listen = reader.endpoint("/listen/links");
-    file.adminListen = reader.endpoint("/listen/admin");
-    bool selfListed = false;
+    SettingsReader reader(document);
+    ControlDaemonSettings settings;
+    settings.replica = ReplicaId{reader.at("/replica").get<std::uint16_t>()};
+    settings.listen = reader.endpoint("/listen/links");
+    settings.adminListen = reader.endpoint("/listen/admin");
+    bool listsItself = false;
     for (std::size_t i = 0; i < reader.at("/replicas").size(); ++i) {
         ReplicaAddress address;
-        address.id = ReplicaId{reader.at(indexed("/replicas", i, "replica")).get<std::uint16_t>()};
-        address.endpoint = reader.endpoint(indexed("/replicas", i, "links"));
-        address.admin = reader.endpoint(indexed("/replicas", i, "admin"));
-        selfListed = selfListed || address.id == file.replica;
-        file.replicas.push_back(address);
+        address.id = ReplicaId{reader.at(elementPointer("/replicas", i, "replica")).get<std::uint16_t>()};
+        address.endpoint = reader.endpoint(elementPointer("/replicas", i, "links"));
+        address.admin = reader.endpoint(elementPointer("/replicas", i, "admin"));
+        listsItself = listsItself || address.id == settings.replica;
+        settings.replicas.push_back(address);
     }
-    if (!selfListed) {
-        reader.fail("/replica", std::to_string(value(file.replica)), "one of the replicas in /replicas");
+    if (!listsItself) {
+        reader.fail("/replica", std::to_string(value(settings.replica)), "one of the replicas in /replicas");
     }
-    file.clusterKey = reader.key<32>("/keys/cluster");
-    file.adminToken = reader.at("/adminToken").get<std::string>();
-    file.dataFolder = reader.at("/dataFolder").get<std::string>();
+    settings.clusterKey = reader.key<32>("/keys/cluster");
+    settings.adminToken = reader.at("/adminToken").get<std::string>();
+    settings.dataFolder = reader.at("/dataFolder").get<std::string>();
     for (std::size_t i = 0; i < reader.at("/firstOperators").size(); ++i) {
         OperatorRecord record;
-        record.name = reader.at(indexed("/firstOperators", i, "name")).get<std::string>();
-        record.key = reader.key<32>(indexed("/firstOperators", i, "key"));
-        const bool administrator = reader.at(indexed("/firstOperators", i, "role")).get<std::string>() == "administrator";
+        record.name = reader.at(elementPointer("/firstOperators", i, "name")).get<std::string>();
+        record.key = reader.key<32>(elementPointer("/firstOperators", i, "key"));
+        const bool administrator = reader.at(elementPointer("/firstOperators", i, "role")).get<std::string>() == "administrator";
         record.role = administrator ? OperatorRole::Administrator : OperatorRole::Author;
-        file.firstOperators.push_back(record);
+        settings.firstOperators.push_back(record);
     }
-    file.log = readLog(document);
+    settings.log = readLogSettings(document);
     if (reader.fault()) {
         return invalid(path, *reader.fault());
     }
-    return file;
+    return settings;
 }
 
-DataCentreId SteeringFile::dataCentreId(std::string_view name) const
+DataCentreId SteeringSettings::dataCentreId(std::string_view name) const
 {
     const auto at = std::find(dataCentres.begin(), dataCentres.end(), name);
     return DataCentreId{static_cast<std::uint8_t>(at == dataCentres.end() ? 0 : at - dataCentres.begin() + 1)};
 }
 
-LossTolerance SteeringFile::borneLoss() const
+LossTolerance SteeringSettings::lossTolerance() const
 {
-    return {borneLosses, borneDataCentres};
+    return {maxLostReplicas, maxLostDataCentres};
 }
 
-leaf::result<SteeringFile> loadSteeringFile(const std::filesystem::path &path)
+leaf::result<SteeringSettings> loadSteeringSettings(const std::filesystem::path &path)
 {
     BOOST_LEAF_AUTO(document, loadDocument(path, steeringSettingsSchema()));
-    Reader reader(document);
-    SteeringFile file;
-    file.node = reader.at("/node").get<std::string>();
-    file.dataCentre = reader.at("/dataCentre").get<std::string>();
-    file.dataCentres = reader.at("/dataCentres").get<std::vector<std::string>>();
-    std::sort(file.dataCentres.begin(), file.dataCentres.end());
-    if (value(file.dataCentreId(file.dataCentre)) == 0) {
-        reader.fail("/dataCentre", file.dataCentre, "one of the names in /dataCentres");
+    SettingsReader reader(document);
+    SteeringSettings settings;
+    settings.node = reader.at("/node").get<std::string>();
+    settings.dataCentre = reader.at("/dataCentre").get<std::string>();
+    settings.dataCentres = reader.at("/dataCentres").get<std::vector<std::string>>();
+    std::sort(settings.dataCentres.begin(), settings.dataCentres.end());
+    if (value(settings.dataCentreId(settings.dataCentre)) == 0) {
+        reader.fail("/dataCentre", settings.dataCentre, "one of the names in /dataCentres");
     }
-    file.adminListen = reader.endpoint("/listen/admin");
+    settings.adminListen = reader.endpoint("/listen/admin");
     if (reader.at("/listen").contains("packets")) {
-        file.packetListen = reader.endpoint("/listen/packets");
+        settings.packetListen = reader.endpoint("/listen/packets");
     }
     for (std::size_t i = 0; i < reader.at("/seeds").size(); ++i) {
-        file.seeds.push_back(reader.endpoint("/seeds/" + std::to_string(i)));
+        settings.seeds.push_back(reader.endpoint("/seeds/" + std::to_string(i)));
     }
-    file.linkPort = reader.at("/linkPort").get<std::uint16_t>();
-    file.linkListenPort = document.value("linkListenPort", file.linkPort);
-    file.firstStart = document.value("firstStart", false);
-    file.announceInterval = std::chrono::milliseconds(reader.at("/announceIntervalMs").get<int>());
-    file.borneLosses = reader.at("/borneLosses").get<std::size_t>();
-    file.borneDataCentres = document.value("borneDataCentres", std::size_t{0});
-    file.drainTime = std::chrono::milliseconds(reader.at("/drainMs").get<std::int64_t>());
-    file.grace = std::chrono::milliseconds(reader.at("/graceMs").get<std::int64_t>());
-    file.dataFolder = document.value("dataFolder", "");
-    file.log = readLog(document);
+    settings.linkPort = reader.at("/linkPort").get<std::uint16_t>();
+    settings.linkListenPort = document.value("linkListenPort", settings.linkPort);
+    settings.firstStart = document.value("firstStart", false);
+    settings.announceInterval = std::chrono::milliseconds(reader.at("/announceIntervalMs").get<int>());
+    settings.maxLostReplicas = reader.at("/borneLosses").get<std::size_t>();
+    settings.maxLostDataCentres = document.value("borneDataCentres", std::size_t{0});
+    settings.drainTimeout = std::chrono::milliseconds(reader.at("/drainMs").get<std::int64_t>());
+    settings.stopGracePeriod = std::chrono::milliseconds(reader.at("/graceMs").get<std::int64_t>());
+    settings.dataFolder = document.value("dataFolder", "");
+    settings.log = readLogSettings(document);
     if (reader.fault()) {
         return invalid(path, *reader.fault());
     }
-    return file;
+    return settings;
 }
 
 std::optional<Endpoint> parseEndpoint(std::string_view text)
--- a/src/steering_node.cpp
+++ b/src/steering_node.cpp
@@ -10,7 +10,7 @@
 
 namespace Robinrail {
 
-SteeringNode::SteeringNode(boost::asio::io_context &io, SteeringFile file)
+SteeringNode::SteeringNode(boost::asio::io_context &io, SteeringSettings file)
     : m_file(std::move(file))
     , m_links(io,
               {NodeRole::Balancer, ReplicaId{0}, m_file.dataCentreId(m_file.dataCentre)},
@@ -33,7 +33,7 @@
     , m_replicaSelector(m_file.dataCentreId(m_file.dataCentre), m_file.packetListen.address)
     , m_follower(m_steering.targets())
     , m_onRoutingData([] {})
-    , m_probeFindings(m_file.borneLoss())
+    , m_probeFindings(m_file.lossTolerance())
     , m_sendResets([](std::span<const FlowReset>) {})
 {
 }
@@ -49,7 +49,7 @@
     tick();
 }
 
-void SteeringNode::reload(const SteeringFile &file)
+void SteeringNode::reload(const SteeringSettings &file)
 {
     m_file.seeds = file.seeds;
     updateReplicas();
@@ -66,7 +66,7 @@
 
 Duration SteeringNode::stopTime() const
 {
-    return std::min(FabricDetectionTime, m_file.grace / 2);
+    return std::min(FabricDetectionTime, m_file.stopGracePeriod / 2);
 }
 
 bool SteeringNode::ready() const
@@ -401,14 +401,14 @@
     }
 }
 
-const SteeringFile &SteeringNode::settings() const
+const SteeringSettings &SteeringNode::settings() const
 {
     return m_file;
 }
 
 std::string SteeringNode::metricsText() const
 {
-    MetricsText text;
+    PrometheusWriter text;
     text.gauge("robinrail_steering_ready", "1 if the fabric may send packets here", m_ready ? 1 : 0);
     text.gauge("robinrail_routing_version", "Version of the routing table in force", static_cast<double>(m_steering.version()));
     text.gauge("robinrail_drain_revision", "Revision of the drained data centres in force", static_cast<double>(m_drainRevision));
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -37,12 +37,12 @@
 class SteeringNode
 {
 public:
-    SteeringNode(boost::asio::io_context &io, SteeringFile file);
+    SteeringNode(boost::asio::io_context &io, SteeringSettings file);
 
     void start();
 
     // Applies changed settings; only the seeds can change at run time.
-    void reload(const SteeringFile &file);
+    void reload(const SteeringSettings &file);
 
     // From now on the node is not ready, but still forwards packets until the process ends.
     void beginStop();
@@ -74,7 +74,7 @@
     void countSendFailure();
     void countHeldTooLong(std::uint64_t packets);
 
-    const SteeringFile &settings() const;
+    const SteeringSettings &settings() const;
     std::string metricsText() const;
 
 private:
@@ -97,7 +97,7 @@
     void logDecision(TimePoint now, const FlowPacket &packet, const SteeringDecision &decision);
     void updateReadiness();
 
-    SteeringFile m_file;
+    SteeringSettings m_file;
     NodeLinks m_links;
     boost::asio::steady_timer m_timer;
     FlowSteering m_steering;
@@ -119,10 +119,10 @@
     ProbeResults m_probeFindings;
     std::function<void(std::span<const FlowReset>)> m_sendResets;
     std::uint64_t m_flowsReset = 0;
-    LogBudget m_resetLog;
+    LogRateLimiter m_resetLog;
     bool m_ready = false;
     bool m_stopping = false;
-    std::array<LogBudget, SteeringReasonCount> m_decisionLogs;
+    std::array<LogRateLimiter, SteeringReasonCount> m_decisionLogs;
     std::uint64_t m_malformed = 0;
     std::uint64_t m_sendFailures = 0;
     std::uint64_t m_heldTooLong = 0;
--- a/src/target_exchange.h
+++ b/src/target_exchange.h
@@ -139,9 +139,9 @@
     TimePoint m_receiptsAt; // Arrival time of the receipts that are being processed.
     bool m_restored = false; // Targets were restored from before a restart.
     bool m_changed = false;
-    LogBudget m_changeLog;
-    LogBudget m_silentLog;
-    LogBudget m_malformedLog;
+    LogRateLimiter m_changeLog;
+    LogRateLimiter m_silentLog;
+    LogRateLimiter m_malformedLog;
     std::uint64_t m_announcements = 0;
     std::uint64_t m_drainsUnanswered = 0;
     LatencyHistogram m_drainTimes;
--- a/tests/test_link_traffic.cpp
+++ b/tests/test_link_traffic.cpp
@@ -35,7 +35,7 @@
     CHECK(traffic.bytes(LinkDirection::Received, LinkDistance::SameDataCentre) == 0);
     CHECK(traffic.bytes(LinkDirection::Received, LinkDistance::OtherDataCentre) == ping.size());
 
-    MetricsText text;
+    PrometheusWriter text;
     traffic.writeMetrics(text);
     const std::string metrics = text.text();
     const auto has = [&metrics](const std::string &line) {
--- a/tests/test_replica.cpp
+++ b/tests/test_replica.cpp
@@ -23,9 +23,9 @@
 const TimePoint Start(std::chrono::hours(1));
 constexpr std::uint32_t Seed = 7;
 
-SteeringFile settingsFor(const fs::path &folder, bool firstStart)
+SteeringSettings settingsFor(const fs::path &folder, bool firstStart)
 {
-    SteeringFile file;
+    SteeringSettings file;
     file.dataFolder = folder;
     file.firstStart = firstStart;
     file.seeds = {{1, 70}, {2, 70}, {3, 70}};
@@ -34,7 +34,7 @@
 
 // Opens the data folder of a replica and passes the storage to `use`; whether it could be opened.
 template<typename Use>
-bool withStorage(const SteeringFile &file, ReplicaId self, Use use)
+bool withStorage(const SteeringSettings &file, ReplicaId self, Use use)
 {
     return leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
@@ -95,7 +95,7 @@
 TEST_CASE("a driver reports a failed write and sends no message that depends on it")
 {
     const TemporaryFolder folder;
-    const SteeringFile file = settingsFor(folder.path() / "data", true);
+    const SteeringSettings file = settingsFor(folder.path() / "data", true);
     CHECK(withStorage(file, ReplicaId{1}, [&file](RaftStorage storage) {
         ReplicaDriver<RoutingState> driver(std::move(storage), Start, Seed);
         std::size_t sent = 0;
