--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -99,22 +99,22 @@
             options.load = load;
         });
     }
-    add("stop all 8 balancers in turn", stopEveryBalancer);
-    add("replace all 18 targets in turn", replaceEveryTarget);
+    add("stop all 8 balancers in turn", restartBalancersInTurn);
+    add("replace all 18 targets in turn", replaceTargetsInTurn);
     add("kill a balancer", [](SimulationOptions &options) {
         options.faults = {{seconds(5), FaultKind::KillBalancer, 3}};
     });
     add("freeze a balancer for 10 s", [](SimulationOptions &options) {
-        options.faults = {{seconds(5), FaultKind::FreezeBalancer, 3}, {seconds(15), FaultKind::ThawBalancer, 3}};
+        options.faults = {{seconds(5), FaultKind::FreezeBalancer, 3}, {seconds(15), FaultKind::UnfreezeBalancer, 3}};
     });
     add("cut a data centre for 10 s", [](SimulationOptions &options) {
-        options.faults = {{seconds(5), FaultKind::CutDataCentre, 1}, {seconds(15), FaultKind::JoinDataCentre, 1}};
+        options.faults = {{seconds(5), FaultKind::IsolateDataCentre, 1}, {seconds(15), FaultKind::ReconnectDataCentre, 1}};
     });
     add("kill a target, silence another", [](SimulationOptions &options) {
         options.faults = {{seconds(5), FaultKind::KillTarget, 1}, {seconds(8), FaultKind::SilenceTarget, 2}};
     });
-    add("10% lost, doubled, late", loseDoubleAndDelay);
-    add("all together", bringAllTogether);
+    add("10% lost, doubled, late", dropDuplicateAndDelay);
+    add("all together", combineAllFaults);
     return scenarios;
 }
 
--- a/bench/deployments.cpp
+++ b/bench/deployments.cpp
@@ -23,7 +23,7 @@
     return deployment;
 }
 
-void stopEveryBalancer(SimulationOptions &options)
+void restartBalancersInTurn(SimulationOptions &options)
 {
     using std::chrono::seconds;
     options.duration = seconds(125);
@@ -33,7 +33,7 @@
     }
 }
 
-void replaceEveryTarget(SimulationOptions &options)
+void replaceTargetsInTurn(SimulationOptions &options)
 {
     using std::chrono::seconds;
     options.duration = seconds(95);
@@ -48,17 +48,17 @@
     }
 }
 
-void loseDoubleAndDelay(SimulationOptions &options)
+void dropDuplicateAndDelay(SimulationOptions &options)
 {
     options.drop = 0.1;
     options.duplicate = 0.1;
     options.late = 0.1;
 }
 
-void bringAllTogether(SimulationOptions &options)
+void combineAllFaults(SimulationOptions &options)
 {
     using std::chrono::seconds;
-    loseDoubleAndDelay(options);
+    dropDuplicateAndDelay(options);
     options.duration = seconds(60);
     options.faults = {{seconds(3), FaultKind::KillBalancer, 3},
                       {seconds(8), FaultKind::StopBalancer, 5},
@@ -66,9 +66,9 @@
                       {seconds(12), FaultKind::StartBalancer, 3},
                       {seconds(14), FaultKind::KillTarget, 4},
                       {seconds(15), FaultKind::FreezeBalancer, 1},
-                      {seconds(22), FaultKind::ThawBalancer, 1},
-                      {seconds(24), FaultKind::CutDataCentre, 2},
-                      {seconds(32), FaultKind::JoinDataCentre, 2},
+                      {seconds(22), FaultKind::UnfreezeBalancer, 1},
+                      {seconds(24), FaultKind::IsolateDataCentre, 2},
+                      {seconds(32), FaultKind::ReconnectDataCentre, 2},
                       {seconds(33), FaultKind::StartTarget, 4},
                       {seconds(36), FaultKind::KillBalancer, 8}};
 }
--- a/bench/simulation.cpp
+++ b/bench/simulation.cpp
@@ -626,7 +626,7 @@
     case FaultKind::FreezeBalancer:
         m_balancers[index].frozen = true;
         break;
-    case FaultKind::ThawBalancer: {
+    case FaultKind::UnfreezeBalancer: {
         BalancerNode &node = m_balancers[index];
         node.frozen = false;
         for (const auto &action : std::exchange(node.whileFrozen, {})) {
@@ -648,10 +648,10 @@
     case FaultKind::SilenceTarget:
         m_targets[index].silent = true;
         break;
-    case FaultKind::CutDataCentre:
+    case FaultKind::IsolateDataCentre:
         m_cut.insert(fault.index);
         break;
-    case FaultKind::JoinDataCentre:
+    case FaultKind::ReconnectDataCentre:
         m_cut.erase(fault.index);
         break;
     }
--- a/bench/simulation.h
+++ b/bench/simulation.h
@@ -45,13 +45,13 @@
     KillBalancer,
     StartBalancer, // A new run of the same balancer.
     FreezeBalancer,
-    ThawBalancer,
+    UnfreezeBalancer,
     DrainTarget,
     KillTarget,
     StartTarget,
     SilenceTarget, // Announces itself and answers nothing.
-    CutDataCentre, // From all others; what is inside still talks.
-    JoinDataCentre,
+    IsolateDataCentre, // From all others; what is inside still talks.
+    ReconnectDataCentre,
 };
 
 struct Fault {
@@ -77,10 +77,10 @@
 };
 
 // Schedules that benchmark and tests share.
-void stopEveryBalancer(SimulationOptions &options);
-void replaceEveryTarget(SimulationOptions &options);
-void loseDoubleAndDelay(SimulationOptions &options); // A tenth of the packets each.
-void bringAllTogether(SimulationOptions &options);
+void restartBalancersInTurn(SimulationOptions &options);
+void replaceTargetsInTurn(SimulationOptions &options);
+void dropDuplicateAndDelay(SimulationOptions &options); // A tenth of the packets each.
+void combineAllFaults(SimulationOptions &options);
 
 struct SimulationResult {
     std::uint64_t sent = 0;
--- a/tests/test_proofs.cpp
+++ b/tests/test_proofs.cpp
@@ -47,7 +47,7 @@
 
 TEST_CASE("every balancer is stopped in turn with feeds open: no broken flow")
 {
-    forSeeds(stopEveryBalancer, [](const SimulationResult &result) {
+    forSeeds(restartBalancersInTurn, [](const SimulationResult &result) {
         CHECK(result.brokenFlows == 0);
         CHECK(result.stoppedBalancers == 8);
         CHECK(result.longestStall < seconds(2));
@@ -57,7 +57,7 @@
 
 TEST_CASE("every target is replaced in turn: no broken flow, and no new work after 3 s")
 {
-    forSeeds(replaceEveryTarget, [](const SimulationResult &result) {
+    forSeeds(replaceTargetsInTurn, [](const SimulationResult &result) {
         CHECK(result.brokenFlows == 0);
         CHECK(result.lateWork == 0);
         CHECK(result.unanswered == 0);
@@ -66,7 +66,7 @@
 
 TEST_CASE("a tenth of the packets lost, doubled and late: answers are whole or refused once")
 {
-    forSeeds(loseDoubleAndDelay, [](const SimulationResult &result) {
+    forSeeds(dropDuplicateAndDelay, [](const SimulationResult &result) {
         CHECK(result.brokenFlows == 0);
         CHECK(result.sent >= result.outcomes[0]);
     });
@@ -88,7 +88,7 @@
 {
     forSeeds(
         [](SimulationOptions &options) {
-            options.faults = {{seconds(5), FaultKind::FreezeBalancer, 3}, {seconds(15), FaultKind::ThawBalancer, 3}};
+            options.faults = {{seconds(5), FaultKind::FreezeBalancer, 3}, {seconds(15), FaultKind::UnfreezeBalancer, 3}};
         },
         [](const SimulationResult &result) {
             CHECK(result.brokenFlows == 0);
@@ -99,7 +99,7 @@
 {
     forSeeds(
         [](SimulationOptions &options) {
-            options.faults = {{seconds(5), FaultKind::CutDataCentre, 1}, {seconds(15), FaultKind::JoinDataCentre, 1}};
+            options.faults = {{seconds(5), FaultKind::IsolateDataCentre, 1}, {seconds(15), FaultKind::ReconnectDataCentre, 1}};
         },
         [](const SimulationResult &result) {
             CHECK(result.brokenFlows == 0);
@@ -119,7 +119,7 @@
 
 TEST_CASE("all of it together")
 {
-    forSeeds(bringAllTogether, [](const SimulationResult &) {});
+    forSeeds(combineAllFaults, [](const SimulationResult &) {});
 }
 
 TEST_CASE("a balancer that joins under traffic routes as well as the others once it is ready")
@@ -152,6 +152,6 @@
 {
     SimulationOptions options = optionsFor(1);
     options.duration = seconds(10);
-    loseDoubleAndDelay(options);
+    dropDuplicateAndDelay(options);
     CHECK(Simulation<DealtSlots>(options).run().signature() == Simulation<DealtSlots>(options).run().signature());
 }
