--- a/soak/fabric.cpp
+++ b/soak/fabric.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-Fabric::Fabric(boost::asio::io_context &io, const Plan &plan, std::uint64_t seed, DatagramSocket::Receive receive)
+Fabric::Fabric(boost::asio::io_context &io, const Plan &plan, std::uint64_t seed, DatagramSocket::ReceiveHandler receive)
     : m_io(io)
     , m_plan(plan)
     , m_random(seed)
--- a/soak/fabric.h
+++ b/soak/fabric.h
@@ -12,7 +12,7 @@
 class Fabric
 {
 public:
-    Fabric(boost::asio::io_context &io, const Plan &plan, std::uint64_t seed, DatagramSocket::Receive receive);
+    Fabric(boost::asio::io_context &io, const Plan &plan, std::uint64_t seed, DatagramSocket::ReceiveHandler receive);
 
     // Sends a caller's packet to a balancer: mostly the same one for a flow, at times any other. A few packets
     // are lost, come twice or late.
--- a/src/standin_common.h
+++ b/src/standin_common.h
@@ -56,9 +56,9 @@
 class DatagramSocket
 {
 public:
-    using Receive = std::function<void(Endpoint from, BytesView bytes)>;
+    using ReceiveHandler = std::function<void(Endpoint from, BytesView bytes)>;
 
-    DatagramSocket(boost::asio::io_context &io, Endpoint local, Receive receive)
+    DatagramSocket(boost::asio::io_context &io, Endpoint local, ReceiveHandler receive)
         : m_socket(io)
         , m_receive(std::move(receive))
     {
@@ -110,7 +110,7 @@
     }
 
     boost::asio::ip::udp::socket m_socket;
-    Receive m_receive;
+    ReceiveHandler m_receive;
 };
 
 } // namespace Robinrail
