--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -15,12 +15,12 @@
 
 constexpr std::uint64_t Seed = 7;
 
-void print(const char *phase, const FleetFigures &figures)
+void print(const char *phase, const FleetMetrics &figures)
 {
     std::cout << std::left << std::setw(28) << phase << std::right << std::fixed << std::setprecision(1) //
               << std::setw(12) << figures.replicaBytes / 1e3 << std::setw(12) << figures.replicaMessages //
-              << std::setw(12) << figures.balancerBytes / 1e3 << std::setw(12) << figures.farBytes / 1e3 //
-              << std::setprecision(3) << std::setw(12) << figures.processorSeconds << std::setw(12) << figures.busiestProcessorSeconds << '\n';
+              << std::setw(12) << figures.balancerBytes / 1e3 << std::setw(12) << figures.crossDataCentreBytes / 1e3 //
+              << std::setprecision(3) << std::setw(12) << figures.processorSeconds << std::setw(12) << figures.maxProcessorSeconds << '\n';
 }
 
 } // namespace
@@ -44,19 +44,19 @@
     std::cout << "per replica                    to peers kB    messages to balan. kB      far kB   processor s   busiest\n";
     model.start();
     model.run(seconds(10));
-    print("start, 10 s", model.takeFigures());
+    print("start, 10 s", model.takeMetrics());
     model.run(seconds(10));
-    print("calm, 10 s", model.takeFigures());
+    print("calm, 10 s", model.takeMetrics());
     model.drain(shape.targetsEach / 10, seconds(5), seconds(6));
     model.run(seconds(15));
-    print("a tenth drains and ends, 15 s", model.takeFigures());
+    print("a tenth drains and ends, 15 s", model.takeMetrics());
     model.restartAll(seconds(1));
     model.run(seconds(5));
-    print("all processes killed, 5 s", model.takeFigures());
+    print("all processes killed, 5 s", model.takeMetrics());
     model.restartAll(seconds(1), {0});
     model.run(seconds(5));
-    print("and one disk lost, 5 s", model.takeFigures());
-    std::cout << "replicas alike: " << (model.alike() ? "yes" : "no") << ", drains unanswered: " << model.drainsUnanswered()
+    print("and one disk lost, 5 s", model.takeMetrics());
+    std::cout << "replicas alike: " << (model.inSync() ? "yes" : "no") << ", drains unanswered: " << model.drainsUnanswered()
               << ", longest drain answer: " << model.longestDrainAnswer().count() / 1000 << " ms\n";
     return 0;
 }
--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -12,17 +12,17 @@
 namespace {
 
 constexpr Duration AnnounceInterval = std::chrono::milliseconds(770);
-constexpr Duration Tick = std::chrono::milliseconds(25);
-constexpr Duration Beat = std::chrono::milliseconds(500);
+constexpr Duration TickPeriod = std::chrono::milliseconds(25);
+constexpr Duration HeartbeatPeriod = std::chrono::milliseconds(500);
 
 // One way, between machines of one data centre and of two.
-constexpr Duration NearDelay = std::chrono::microseconds(300);
-constexpr Duration FarDelay = std::chrono::microseconds(1700);
+constexpr Duration IntraDataCentreDelay = std::chrono::microseconds(300);
+constexpr Duration InterDataCentreDelay = std::chrono::microseconds(1700);
 
 // Replicas start within this of each other, and links come up as long after.
 constexpr Duration StartSpread = std::chrono::milliseconds(100);
 
-constexpr LossTolerance Borne{2, 1};
+constexpr LossTolerance ToleratedLoss{2, 1};
 
 Duration fraction(Duration whole, std::uint64_t hash)
 {
@@ -98,7 +98,7 @@
     std::uint64_t sequence = 0;
     std::uint64_t generation = 0; // Lifetimes that began in its place.
     TargetPhase phase = TargetPhase::Serving;
-    bool over = false;
+    bool ended = false;
 };
 
 void FleetModel::Links::sendEncoded(ReplicaLinkId handle, const Bytes &message)
@@ -117,9 +117,10 @@
     toReplicas.count(LinkDirection::Sent, distance, message);
     ++messagesToReplicas;
     const auto peer = static_cast<std::size_t>(value(link.peer.replica)) - 1;
-    model->at(model->m_now + (distance == LinkDistance::Near ? NearDelay : FarDelay), [target = model, peer, peerLink = link.peerLink, bytes = message] {
-        target->deliver(peer, peerLink, bytes);
-    });
+    model->at(model->m_now + (distance == LinkDistance::Near ? IntraDataCentreDelay : InterDataCentreDelay),
+              [target = model, peer, peerLink = link.peerLink, bytes = message] {
+                  target->deliver(peer, peerLink, bytes);
+              });
 }
 
 FleetModel::FleetModel(const FleetShape &shape, std::uint64_t seed)
@@ -161,7 +162,7 @@
 }
 
 template<typename Work>
-void FleetModel::timed(Replica &replica, Work work)
+void FleetModel::measureWork(Replica &replica, Work work)
 {
     const auto began = std::chrono::steady_clock::now();
     work();
@@ -170,7 +171,7 @@
 
 void FleetModel::start()
 {
-    bootAll(std::vector<std::vector<TargetStatus>>(m_replicas.size()));
+    startReplicas(std::vector<std::vector<TargetStatus>>(m_replicas.size()));
     for (std::size_t i = 0; i < m_targets.size(); ++i) {
         at(m_now + StartSpread + fraction(AnnounceInterval, hashPair(m_seed + 1, i)), [this, i] {
             announce(i, 0);
@@ -178,7 +179,7 @@
     }
 }
 
-void FleetModel::restartAll(Duration pause, const std::vector<std::size_t> &emptied)
+void FleetModel::restartAll(Duration pause, const std::vector<std::size_t> &wipedReplicas)
 {
     std::vector<std::vector<TargetStatus>> known;
     for (const auto &replica : m_replicas) {
@@ -186,25 +187,25 @@
         replica->exchange.reset();
         replica->links.links.clear();
     }
-    for (const std::size_t replica : emptied) {
+    for (const std::size_t replica : wipedReplicas) {
         known[replica].clear();
     }
     ++m_boot;
     run(pause);
-    bootAll(std::move(known));
+    startReplicas(std::move(known));
 }
 
 // Replicas first, then links between all of them, then the balancers of each data centre at its replicas in turn.
-void FleetModel::bootAll(std::vector<std::vector<TargetStatus>> known)
+void FleetModel::startReplicas(std::vector<std::vector<TargetStatus>> known)
 {
     for (std::size_t i = 0; i < m_replicas.size(); ++i) {
-        const Duration late = fraction(StartSpread, hashPair(m_seed + 2, m_boot << 32U | i));
-        at(m_now + late, [this, i, boot = m_boot, known = std::move(known[i])] {
+        const Duration startOffset = fraction(StartSpread, hashPair(m_seed + 2, m_boot << 32U | i));
+        at(m_now + startOffset, [this, i, boot = m_boot, known = std::move(known[i])] {
             Replica &replica = *m_replicas[i];
             replica.links.model = this;
             replica.links.owner = i;
-            timed(replica, [&] {
-                replica.exchange = std::make_unique<BasicTargetExchange<Links>>(replica.links, m_now, replica.place, AnnounceInterval, Borne);
+            measureWork(replica, [&] {
+                replica.exchange = std::make_unique<BasicTargetExchange<Links>>(replica.links, m_now, replica.place, AnnounceInterval, ToleratedLoss);
                 replica.exchange->restore(m_now, known);
             });
             tick(i, boot);
@@ -212,28 +213,28 @@
     }
     for (std::size_t one = 0; one < m_replicas.size(); ++one) {
         for (std::size_t other = 0; other < m_replicas.size(); ++other) {
-            const Duration late = fraction(StartSpread, hashPair(one, other << 32U | m_boot));
+            const Duration startOffset = fraction(StartSpread, hashPair(one, other << 32U | m_boot));
             if (one != other) {
-                at(m_now + StartSpread + late, [this, one, other] {
-                    linkUp(one, other);
+                at(m_now + StartSpread + startOffset, [this, one, other] {
+                    connectReplicas(one, other);
                 });
             }
         }
     }
     for (std::size_t i = 0; i < m_shape.dataCentres * m_shape.balancersEach; ++i) {
         const DataCentreId dataCentre = DataCentreId(1 + i % m_shape.dataCentres);
-        const std::size_t followed = i % m_shape.dataCentres + m_shape.dataCentres * (hashPair(m_seed + 3, i) % m_shape.replicasEach);
-        at(m_now + 2 * StartSpread + fraction(StartSpread, hashPair(m_seed + 4, i)), [this, dataCentre, followed] {
-            Replica &replica = *m_replicas[followed];
+        const std::size_t replicaIndex = i % m_shape.dataCentres + m_shape.dataCentres * (hashPair(m_seed + 3, i) % m_shape.replicasEach);
+        at(m_now + 2 * StartSpread + fraction(StartSpread, hashPair(m_seed + 4, i)), [this, dataCentre, replicaIndex] {
+            Replica &replica = *m_replicas[replicaIndex];
             replica.links.links[++m_lastLink] = {{ReplicaId{0}, dataCentre}, 0, false};
-            timed(replica, [&] {
+            measureWork(replica, [&] {
                 replica.exchange->follow(m_now, m_lastLink, FollowDirectory{});
             });
         });
     }
 }
 
-void FleetModel::linkUp(std::size_t dialler, std::size_t acceptor)
+void FleetModel::connectReplicas(std::size_t dialler, std::size_t acceptor)
 {
     Replica &one = *m_replicas[dialler];
     Replica &other = *m_replicas[acceptor];
@@ -241,10 +242,10 @@
     const ReplicaLinkId there = ++m_lastLink;
     one.links.links[here] = {other.place, there, true};
     other.links.links[there] = {one.place, here, false};
-    timed(one, [&] {
+    measureWork(one, [&] {
         one.exchange->linked(other.place.replica, here);
     });
-    timed(other, [&] {
+    measureWork(other, [&] {
         other.exchange->linked(one.place.replica, there);
     });
 }
@@ -257,7 +258,7 @@
         return; // Lost with the link.
     }
     const ReplicaPlace peer = at->second.peer;
-    timed(replica, [&] {
+    measureWork(replica, [&] {
         if (const std::optional<NodeMessage> decoded = decodeMessage<NodeMessage>(message)) {
             dispatch(replica, peer, link, *decoded);
         }
@@ -290,22 +291,22 @@
     if (boot != m_boot) {
         return;
     }
-    timed(replica, [&] {
+    measureWork(replica, [&] {
         replica.exchange->reconcile(m_now);
         replica.exchange->publish(m_now);
         replica.exchange->expireDrains(m_now);
-        if (m_now.time_since_epoch() / Tick % (Beat / Tick) == static_cast<std::int64_t>(number) % (Beat / Tick)) {
+        if (m_now.time_since_epoch() / TickPeriod % (HeartbeatPeriod / TickPeriod) == static_cast<std::int64_t>(number) % (HeartbeatPeriod / TickPeriod)) {
             replica.exchange->beat(m_now);
         }
     });
-    at(m_now + Tick, [this, number, boot] {
+    at(m_now + TickPeriod, [this, number, boot] {
         tick(number, boot);
     });
 }
 
 // ---- Targets ----
 
-TargetRecord FleetModel::recordOf(const Target &target) const
+TargetRecord FleetModel::makeRecord(const Target &target) const
 {
     TargetRecord record;
     record.key = target.key;
@@ -322,15 +323,15 @@
 void FleetModel::announce(std::size_t number, std::uint64_t generation)
 {
     Target &target = m_targets[number];
-    if (target.over || target.generation != generation) {
+    if (target.ended || target.generation != generation) {
         return;
     }
     ++target.sequence;
     const std::size_t place = hashPair(value(target.key), 9) % m_shape.replicasEach;
     Replica &replica = *m_replicas[value(target.dataCentre) - 1U + m_shape.dataCentres * place];
     if (replica.exchange) {
-        timed(replica, [&] {
-            replica.exchange->announce(m_now, recordOf(target), [](bool) {});
+        measureWork(replica, [&] {
+            replica.exchange->announce(m_now, makeRecord(target), [](bool) {});
         });
     }
     at(m_now + AnnounceInterval, [this, number, generation] {
@@ -338,34 +339,34 @@
     });
 }
 
-void FleetModel::drain(std::size_t targetsEach, Duration within, Duration serveOn)
+void FleetModel::drain(std::size_t targetsEach, Duration within, Duration endDelay)
 {
     const std::size_t count = targetsEach * m_shape.dataCentres;
     for (std::size_t i = 0; i < std::min(count, m_targets.size()); ++i) {
-        at(m_now + Duration(within.count() * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(count)), [this, i, serveOn] {
-            drainTarget(i, serveOn);
+        at(m_now + Duration(within.count() * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(count)), [this, i, endDelay] {
+            drainTarget(i, endDelay);
         });
     }
 }
 
-void FleetModel::drainTarget(std::size_t number, Duration serveOn)
+void FleetModel::drainTarget(std::size_t number, Duration endDelay)
 {
     Target &target = m_targets[number];
     target.phase = TargetPhase::Draining;
     ++target.sequence;
-    ++m_drainsAsked;
+    ++m_drainsStarted;
     const std::size_t place = hashPair(value(target.key), 9) % m_shape.replicasEach;
     Replica &replica = *m_replicas[value(target.dataCentre) - 1U + m_shape.dataCentres * place];
-    timed(replica, [&] {
-        replica.exchange->announce(m_now, recordOf(target), [this, began = m_now](bool taken) {
+    measureWork(replica, [&] {
+        replica.exchange->announce(m_now, makeRecord(target), [this, began = m_now](bool taken) {
             m_drainsAnswered += taken ? 1 : 0;
             m_longestDrainAnswer = std::max(m_longestDrainAnswer, m_now - began);
         });
     });
-    at(m_now + serveOn, [this, number, &replica] {
+    at(m_now + endDelay, [this, number, &replica] {
         Target &ending = m_targets[number];
-        ending.over = true;
-        timed(replica, [&] {
+        ending.ended = true;
+        measureWork(replica, [&] {
             replica.exchange->leave(m_now, ending.key, 0, [](bool) {});
         });
     });
@@ -373,9 +374,9 @@
 
 // ---- Figures ----
 
-FleetFigures FleetModel::takeFigures()
+FleetMetrics FleetModel::takeMetrics()
 {
-    FleetFigures figures;
+    FleetMetrics figures;
     for (const auto &replica : m_replicas) {
         Links &links = replica->links;
         const auto sent = [](const LinkTraffic &traffic, LinkDistance distance) {
@@ -383,21 +384,21 @@
         };
         figures.replicaBytes += sent(links.toReplicas, LinkDistance::Near) + sent(links.toReplicas, LinkDistance::Far);
         figures.balancerBytes += sent(links.toBalancers, LinkDistance::Near) + sent(links.toBalancers, LinkDistance::Far);
-        figures.farBytes += sent(links.toReplicas, LinkDistance::Far) + sent(links.toBalancers, LinkDistance::Far);
+        figures.crossDataCentreBytes += sent(links.toReplicas, LinkDistance::Far) + sent(links.toBalancers, LinkDistance::Far);
         figures.replicaMessages += static_cast<double>(std::exchange(links.messagesToReplicas, 0));
-        figures.busiestProcessorSeconds = std::max(figures.busiestProcessorSeconds, replica->processorSeconds);
+        figures.maxProcessorSeconds = std::max(figures.maxProcessorSeconds, replica->processorSeconds);
         figures.processorSeconds += std::exchange(replica->processorSeconds, 0.0);
         links.toReplicas = {};
         links.toBalancers = {};
     }
     const auto count = static_cast<double>(m_replicas.size());
-    for (double *sum : {&figures.replicaBytes, &figures.balancerBytes, &figures.farBytes, &figures.replicaMessages, &figures.processorSeconds}) {
+    for (double *sum : {&figures.replicaBytes, &figures.balancerBytes, &figures.crossDataCentreBytes, &figures.replicaMessages, &figures.processorSeconds}) {
         *sum /= count;
     }
     return figures;
 }
 
-bool FleetModel::alike() const
+bool FleetModel::inSync() const
 {
     const auto digest = [this](const Replica &replica) {
         TargetDirectory directory(AnnounceInterval, AnnounceInterval);
@@ -419,7 +420,7 @@
 
 std::size_t FleetModel::drainsUnanswered() const
 {
-    return m_drainsAsked - m_drainsAnswered;
+    return m_drainsStarted - m_drainsAnswered;
 }
 
 } // namespace Robinrail
--- a/bench/fleet_model.h
+++ b/bench/fleet_model.h
@@ -26,13 +26,13 @@
 };
 
 // What passed since the last figures were taken: of a replica, in the mean.
-struct FleetFigures {
+struct FleetMetrics {
     double replicaBytes = 0; // Sent to other replicas.
     double replicaMessages = 0;
     double balancerBytes = 0; // Sent to balancers.
-    double farBytes = 0; // Sent to other data centres.
+    double crossDataCentreBytes = 0; // Sent to other data centres.
     double processorSeconds = 0; // On this machine; the exchange and the codec alone.
-    double busiestProcessorSeconds = 0; // Of the replica that took most.
+    double maxProcessorSeconds = 0; // Of the replica that took most.
 };
 
 class FleetModel
@@ -46,17 +46,17 @@
 
     void run(Duration duration);
 
-    // So many targets of each data centre drain, one after the other within this time, and end `serveOn` later.
-    void drain(std::size_t targetsEach, Duration within, Duration serveOn);
+    // So many targets of each data centre drain, one after the other within this time, and end `endDelay` later.
+    void drain(std::size_t targetsEach, Duration within, Duration endDelay);
 
     // All replicas lose their processes and start again after a pause with what was known, but those of `emptied`, which
     // lose their disks as well.
-    void restartAll(Duration pause, const std::vector<std::size_t> &emptied = {});
+    void restartAll(Duration pause, const std::vector<std::size_t> &wipedReplicas = {});
 
-    FleetFigures takeFigures();
+    FleetMetrics takeMetrics();
 
     // Whether all replicas hold the same targets in the same phases.
-    bool alike() const;
+    bool inSync() const;
 
     // The longest time from a target's first word that it drains to the answer; drains that got none.
     Duration longestDrainAnswer() const;
@@ -78,17 +78,17 @@
     };
 
     void at(TimePoint time, std::function<void()> run);
-    void bootAll(std::vector<std::vector<TargetStatus>> known);
-    void linkUp(std::size_t dialler, std::size_t acceptor);
+    void startReplicas(std::vector<std::vector<TargetStatus>> known);
+    void connectReplicas(std::size_t dialler, std::size_t acceptor);
     void deliver(std::size_t from, ReplicaLinkId link, const Bytes &message);
     void dispatch(Replica &replica, const ReplicaPlace &peer, ReplicaLinkId link, const NodeMessage &message);
     void tick(std::size_t replica, std::uint64_t boot);
     void announce(std::size_t target, std::uint64_t generation);
-    void drainTarget(std::size_t target, Duration serveOn);
-    TargetRecord recordOf(const Target &target) const;
+    void drainTarget(std::size_t target, Duration endDelay);
+    TargetRecord makeRecord(const Target &target) const;
 
     template<typename Work>
-    void timed(Replica &replica, Work work);
+    void measureWork(Replica &replica, Work work);
 
     FleetShape m_shape;
     std::uint64_t m_seed;
@@ -100,7 +100,7 @@
     std::vector<std::unique_ptr<Replica>> m_replicas;
     std::vector<Target> m_targets;
     Duration m_longestDrainAnswer{};
-    std::size_t m_drainsAsked = 0;
+    std::size_t m_drainsStarted = 0;
     std::size_t m_drainsAnswered = 0;
 };
 
--- a/tests/test_fleet_model.cpp
+++ b/tests/test_fleet_model.cpp
@@ -13,42 +13,42 @@
 namespace {
 
 // Everything in a data centre grows alike.
-FleetShape shapeOf(std::size_t size)
+FleetShape scaledShape(std::size_t size)
 {
     return {5, size, 4 * size, 60 * size};
 }
 
 // The power of the size by which a figure grows, between sizes 1 and 4.
-double growth(double small, double large)
+double growthExponent(double small, double large)
 {
     return std::log(large / small) / std::log(4.0);
 }
 
 struct Phases {
-    FleetFigures calm;
-    FleetFigures release;
-    FleetFigures restart;
+    FleetMetrics calm;
+    FleetMetrics release;
+    FleetMetrics restart;
 };
 
-Phases play(std::size_t size)
+Phases measurePhases(std::size_t size)
 {
-    FleetModel model(shapeOf(size), 3);
+    FleetModel model(scaledShape(size), 3);
     Phases phases;
     model.start();
     model.run(seconds(5));
-    model.takeFigures();
+    model.takeMetrics();
     model.run(seconds(5));
-    phases.calm = model.takeFigures();
-    model.drain(shapeOf(size).targetsEach / 5, seconds(3), seconds(6));
+    phases.calm = model.takeMetrics();
+    model.drain(scaledShape(size).targetsEach / 5, seconds(3), seconds(6));
     model.run(seconds(12));
-    phases.release = model.takeFigures();
-    CHECK(model.alike());
+    phases.release = model.takeMetrics();
+    CHECK(model.inSync());
     CHECK(model.drainsUnanswered() == 0);
     CHECK(model.longestDrainAnswer() <= milliseconds(60));
     model.restartAll(seconds(1));
     model.run(seconds(4));
-    phases.restart = model.takeFigures();
-    CHECK(model.alike());
+    phases.restart = model.takeMetrics();
+    CHECK(model.inSync());
     return phases;
 }
 
@@ -56,11 +56,11 @@
 
 TEST_CASE("what a replica tells the others grows no faster than the targets of its data centre, calm or in a release")
 {
-    const Phases small = play(1);
-    const Phases large = play(4);
-    CHECK(growth(small.calm.replicaBytes, large.calm.replicaBytes) <= 1.2); // Peers grow from 4 to 19: as n^1.12.
-    CHECK(growth(small.release.replicaBytes, large.release.replicaBytes) <= 1.2);
-    CHECK(growth(small.release.replicaMessages, large.release.replicaMessages) <= 1.2);
+    const Phases small = measurePhases(1);
+    const Phases large = measurePhases(4);
+    CHECK(growthExponent(small.calm.replicaBytes, large.calm.replicaBytes) <= 1.2); // Peers grow from 4 to 19: as n^1.12.
+    CHECK(growthExponent(small.release.replicaBytes, large.release.replicaBytes) <= 1.2);
+    CHECK(growthExponent(small.release.replicaMessages, large.release.replicaMessages) <= 1.2);
     // A hash for eight targets on each link, either way on two links, and a beat: a fiftieth of the targets' records.
     const double targets = 5.0 * 60 * 4 * 0.8;
     const double links = 2.0 * 19;
@@ -69,15 +69,15 @@
 
 TEST_CASE("a replica that lost its disk has all targets again within a second of the others")
 {
-    FleetModel model(shapeOf(4), 5);
+    FleetModel model(scaledShape(4), 5);
     model.start();
     model.run(seconds(5));
-    model.takeFigures();
+    model.takeMetrics();
     model.restartAll(seconds(1), {0, 1});
     model.run(seconds(2));
-    CHECK(model.alike());
+    CHECK(model.inSync());
     constexpr double RecordBytes = 110;
     constexpr double Targets = 5.0 * 60 * 4;
     // Two replicas get each target once; 20 replicas send it all together.
-    CHECK(model.takeFigures().replicaBytes * 20 < 2 * Targets * RecordBytes + 20.0 * 2 * 19 * Targets * 2);
+    CHECK(model.takeMetrics().replicaBytes * 20 < 2 * Targets * RecordBytes + 20.0 * 2 * 19 * Targets * 2);
 }
