--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -30,12 +30,12 @@
 
 // cost = base + slope * size, with the largest deviation of a point relative to the largest cost.
 struct Line {
-    double base = 0;
+    double intercept = 0;
     double slope = 0;
     double error = 0;
 };
 
-Line fit(const std::vector<Point> &points)
+Line fitLine(const std::vector<Point> &points)
 {
     double sumX = 0;
     double sumY = 0;
@@ -52,9 +52,9 @@
     const auto count = static_cast<double>(points.size());
     Line line;
     line.slope = (count * sumXy - sumX * sumY) / (count * sumXx - sumX * sumX);
-    line.base = (sumY - line.slope * sumX) / count;
+    line.intercept = (sumY - line.slope * sumX) / count;
     for (const Point &point : points) {
-        line.error = std::max(line.error, std::abs(line.base + line.slope * point.size - point.cost) / highest);
+        line.error = std::max(line.error, std::abs(line.intercept + line.slope * point.size - point.cost) / highest);
     }
     return line;
 }
@@ -65,7 +65,7 @@
 }
 
 // Microseconds of one call: the least of several batches, which is what noise disturbs least.
-double microsecondsOf(const std::function<void()> &action, int calls)
+double minMicrosecondsPerCall(const std::function<void()> &action, int calls)
 {
     constexpr int Batches = 7;
     double best = 1e300;
@@ -87,16 +87,16 @@
     for (const double size : sizes) {
         points.push_back({size, measure(size)});
     }
-    const Line line = fit(points);
+    const Line line = fitLine(points);
     std::cout << std::left << std::setw(44) << name << std::right << std::setprecision(5);
     for (const Point &point : points) {
         std::cout << std::setw(11) << point.cost;
     }
-    std::cout << "  = " << std::setprecision(4) << line.base << " + " << line.slope << " " << unit << " per " << per << ", error " << std::setprecision(2)
+    std::cout << "  = " << std::setprecision(4) << line.intercept << " + " << line.slope << " " << unit << " per " << per << ", error " << std::setprecision(2)
               << 100 * line.error << "%\n";
 }
 
-Announcement announcementOf(std::uint32_t id, std::uint64_t sequence)
+Announcement makeAnnouncement(std::uint32_t id, std::uint64_t sequence)
 {
     Announcement announcement;
     announcement.target = TargetId{id};
@@ -110,7 +110,7 @@
     return announcement;
 }
 
-BalancerSettings settingsWith(std::uint16_t peers)
+BalancerSettings makeSettings(std::uint16_t peers)
 {
     BalancerSettings settings;
     settings.self = {BalancerId{1}, Incarnation{1'700'000'000'000}};
@@ -121,7 +121,7 @@
     return settings;
 }
 
-Heartbeat heartbeatFrom(std::uint16_t id, std::uint64_t counter)
+Heartbeat makeHeartbeat(std::uint16_t id, std::uint64_t counter)
 {
     Heartbeat heartbeat;
     heartbeat.sender = {BalancerId{id}, Incarnation{1'700'000'000'000}};
@@ -131,20 +131,20 @@
     return heartbeat;
 }
 
-std::unique_ptr<BalancerCore<DealtSlots>> balancerWith(std::uint16_t peers, std::uint32_t targets)
+std::unique_ptr<BalancerCore<DealtSlots>> makeBalancer(std::uint16_t peers, std::uint32_t targets)
 {
-    auto core = std::make_unique<BalancerCore<DealtSlots>>(settingsWith(peers));
+    auto core = std::make_unique<BalancerCore<DealtSlots>>(makeSettings(peers));
     for (std::uint16_t id = 2; id <= peers + 1; ++id) {
-        core->handlePeer(Start, {id, 5000}, heartbeatFrom(id, 1));
+        core->handlePeer(Start, {id, 5000}, makeHeartbeat(id, 1));
     }
     for (std::uint32_t id = 1; id <= targets; ++id) {
-        core->context().targets.announce(Start, announcementOf(id, 1));
+        core->context().targets.announce(Start, makeAnnouncement(id, 1));
     }
     core->takeOutbox();
     return core;
 }
 
-std::string bundleOf(int services)
+std::string makeBundleText(int services)
 {
     std::string text = R"({"formatVersion": 1, "dataCentres": [{"id": 1, "name": "a"}], "policy": {"approvals": 1}, "services": [)";
     for (int id = 1; id <= services; ++id) {
@@ -170,25 +170,25 @@
         const std::size_t before = heapBytes();
         TargetTable table;
         for (std::uint32_t id = 1; id <= static_cast<std::uint32_t>(size); ++id) {
-            table.announce(Start, announcementOf(id, 1));
+            table.announce(Start, makeAnnouncement(id, 1));
         }
         return static_cast<double>(heapBytes() - before);
     });
     report("taking one announcement", "us", "known target", {1000, 2000, 4000, 8000}, [](double size) {
-        const auto core = balancerWith(7, static_cast<std::uint32_t>(size));
+        const auto core = makeBalancer(7, static_cast<std::uint32_t>(size));
         std::uint64_t sequence = 1;
-        return microsecondsOf(
+        return minMicrosecondsPerCall(
             [&] {
-                core->handleTarget(Start, {1, 9000}, announcementOf(1, ++sequence));
+                core->handleTarget(Start, {1, 9000}, makeAnnouncement(1, ++sequence));
             },
             2000);
     });
     report("one tick (50 a second), nothing changed", "us", "known target", {1000, 2000, 4000, 8000}, [](double size) {
-        const auto core = balancerWith(7, static_cast<std::uint32_t>(size));
+        const auto core = makeBalancer(7, static_cast<std::uint32_t>(size));
         core->tick(Start);
         TimePoint now = Start + SlowStartTime + std::chrono::seconds(1);
         core->tick(now);
-        return microsecondsOf(
+        return minMicrosecondsPerCall(
             [&] {
                 now += Duration(1);
                 core->tick(now);
@@ -197,11 +197,11 @@
             100);
     });
     report("dealing slots after a change", "us", "known target", {1000, 2000, 4000, 8000}, [](double size) {
-        const auto core = balancerWith(100, static_cast<std::uint32_t>(size));
+        const auto core = makeBalancer(100, static_cast<std::uint32_t>(size));
         std::uint64_t incarnation = 1'700'000'000'000;
-        return microsecondsOf(
+        return minMicrosecondsPerCall(
             [&] {
-                Announcement restarted = announcementOf(1, 1);
+                Announcement restarted = makeAnnouncement(1, 1);
                 restarted.incarnation = Incarnation{++incarnation};
                 core->context().targets.announce(Start, restarted);
                 core->tick(Start);
@@ -210,7 +210,7 @@
             50);
     });
     report("heartbeats of one interval, sealed", "bytes", "peer", {7, 50, 100, 200}, [](double size) {
-        const auto core = balancerWith(static_cast<std::uint16_t>(size), 0);
+        const auto core = makeBalancer(static_cast<std::uint16_t>(size), 0);
         core->tick(Start);
         double bytes = 0;
         for (const Outgoing &outgoing : core->takeOutbox()) {
@@ -219,10 +219,10 @@
         return bytes;
     });
     report("making and sealing those heartbeats", "us", "peer", {7, 50, 100, 200}, [](double size) {
-        const auto core = balancerWith(static_cast<std::uint16_t>(size), 0);
+        const auto core = makeBalancer(static_cast<std::uint16_t>(size), 0);
         DatagramGuard guard(ClusterKey{1}, {BalancerId{1}, Incarnation{1}});
         TimePoint now = Start;
-        return microsecondsOf(
+        return minMicrosecondsPerCall(
             [&] {
                 now += HeartbeatInterval;
                 for (std::uint16_t id = 2; id <= static_cast<std::uint16_t>(size) + 1; ++id) {
@@ -236,7 +236,7 @@
             20);
     });
     report("renewals in one heartbeat", "bytes", "target", {5, 10, 20, 40}, [](double size) {
-        Heartbeat heartbeat = heartbeatFrom(2, 1);
+        Heartbeat heartbeat = makeHeartbeat(2, 1);
         const std::size_t empty = encodeMessage(Message(heartbeat)).size();
         for (std::uint32_t id = 1; id <= static_cast<std::uint32_t>(size); ++id) {
             heartbeat.renewals.push_back({TargetId{50'000 + id}, 60'000, 100'000, 1500});
@@ -244,15 +244,15 @@
         return static_cast<double>(encodeMessage(Message(heartbeat)).size() - empty);
     });
     report("opening and taking heartbeats", "us", "heartbeat", {10, 20, 40, 80}, [](double size) {
-        const auto core = balancerWith(1, 0);
+        const auto core = makeBalancer(1, 0);
         const ClusterKey key{1};
         DatagramGuard sender(key, {BalancerId{2}, Incarnation{1'700'000'000'000}});
         DatagramGuard receiver(key, {BalancerId{1}, Incarnation{1}});
         std::uint64_t counter = 1;
-        return microsecondsOf(
+        return minMicrosecondsPerCall(
             [&] {
                 for (int i = 0; i < static_cast<int>(size); ++i) {
-                    const Bytes sealed = sender.seal(encodeMessage(Message(heartbeatFrom(2, ++counter))));
+                    const Bytes sealed = sender.seal(encodeMessage(Message(makeHeartbeat(2, ++counter))));
                     const auto opened = receiver.open(sealed);
                     core->handlePeer(Start, {2, 5000}, *decodeMessage<Message>(opened->payload));
                 }
@@ -261,7 +261,7 @@
     });
     report("relaying packets, both ends", "us", "packet", {10, 20, 40, 80}, [](double size) {
         const Bytes request = encodeMessage(Message(Request{{}, RequestId{1}, false, std::chrono::seconds(1), Bytes(64)}));
-        return microsecondsOf(
+        return minMicrosecondsPerCall(
             [&] {
                 for (int i = 0; i < static_cast<int>(size); ++i) {
                     const auto message = decodeMessage<Message>(request);
@@ -279,71 +279,71 @@
 void measureControl()
 {
     const KeyPair pair = generateKeyPair();
-    const auto stateWith = [&pair](int versions) {
+    const auto makeState = [&pair](int versions) {
         ControlState state;
         state.apply(Genesis{{{"first", pair.publicKey, OperatorRole::Administrator, false}}});
         for (int version = 0; version < versions; ++version) {
             ChangeId id{};
             randombytes_buf(id.data(), id.size());
-            state.apply(makeChange(id, "first", ProposeBundle{static_cast<std::uint64_t>(version), bundleOf(2)}, pair.secretKey));
+            state.apply(makeChange(id, "first", ProposeBundle{static_cast<std::uint64_t>(version), makeBundleText(2)}, pair.secretKey));
         }
         return state;
     };
     report("snapshot of the control state", "bytes", "change", {500, 1000, 2000, 4000}, [&](double size) {
-        return static_cast<double>(stateWith(static_cast<int>(size)).serialize().size());
+        return static_cast<double>(makeState(static_cast<int>(size)).serialize().size());
     });
     report("heap of the control state", "bytes", "change", {500, 1000, 2000, 4000}, [&](double size) {
         const std::size_t before = heapBytes();
-        const ControlState state = stateWith(static_cast<int>(size));
+        const ControlState state = makeState(static_cast<int>(size));
         return static_cast<double>(heapBytes() - before) + (state.latestVersion() == 0 ? 1 : 0);
     });
     report("taking a snapshot", "us", "change", {500, 1000, 2000, 4000}, [&](double size) {
-        const ControlState state = stateWith(static_cast<int>(size));
-        return microsecondsOf(
+        const ControlState state = makeState(static_cast<int>(size));
+        return minMicrosecondsPerCall(
             [&] {
                 state.serialize();
             },
             1);
     });
     report("bundle text", "bytes", "service", {10, 100, 500, 1000}, [](double size) {
-        return static_cast<double>(bundleOf(static_cast<int>(size)).size());
+        return static_cast<double>(makeBundleText(static_cast<int>(size)).size());
     });
     report("checking a bundle", "us", "service", {10, 100, 500, 1000}, [](double size) {
-        const std::string text = bundleOf(static_cast<int>(size));
+        const std::string text = makeBundleText(static_cast<int>(size));
         JsonFault fault;
-        return microsecondsOf(
+        return minMicrosecondsPerCall(
             [&] {
                 parseBundle(text, fault);
             },
             2);
     });
-    const auto versionsOf = [](double size) {
+    const auto makeVersions = [](double size) {
         std::pair<BundleVersion, BundleVersion> versions;
         versions.first.version = 1;
-        versions.first.text = bundleOf(static_cast<int>(size));
+        versions.first.text = makeBundleText(static_cast<int>(size));
         versions.second.version = 2;
         versions.second.text = versions.first.text;
         versions.second.text.replace(versions.second.text.find("250"), 3, "300");
         return versions;
     };
     report("delta of one changed service", "bytes", "service", {10, 100, 500, 1000}, [&](double size) {
-        const auto versions = versionsOf(size);
+        const auto versions = makeVersions(size);
         return static_cast<double>(encodeMessage(std::variant<BundleOffer>(makeOffer(&versions.first, versions.second, {}))).size());
     });
     report("making a delta", "us", "service", {10, 100, 500, 1000}, [&](double size) {
-        const auto versions = versionsOf(size);
-        return microsecondsOf(
+        const auto versions = makeVersions(size);
+        return minMicrosecondsPerCall(
             [&] {
                 makeOffer(&versions.first, versions.second, {});
             },
             2);
     });
     report("applying a delta at a balancer", "us", "service", {10, 100, 500, 1000}, [&](double size) {
-        const auto versions = versionsOf(size);
+        const auto versions = makeVersions(size);
         const BundleOffer offer = makeOffer(&versions.first, versions.second, {});
         RolloutAgent agent;
         agent.take(makeOffer(nullptr, versions.first, {}));
-        return microsecondsOf(
+        return minMicrosecondsPerCall(
             [&] {
                 RolloutAgent copy = agent;
                 copy.take(offer);
