--- a/bench/baselines.cpp
+++ b/bench/baselines.cpp
@@ -10,10 +10,10 @@
 
 namespace Robinrail {
 
-IdealResult simulateIdeal(const SimulatedService &service, double load, Duration duration, Duration maxWait, std::uint64_t seed)
+CentralQueueResult simulateCentralQueue(const SimulatedService &service, double load, Duration duration, Duration maxWait, std::uint64_t seed)
 {
     pcg64 random(seed);
-    const int slots = service.hosts * service.slots;
+    const int slots = service.targets * service.slots;
     std::priority_queue<Duration, std::vector<Duration>, std::greater<>> freeAt;
     for (int i = 0; i < slots; ++i) {
         freeAt.push(Duration(0));
@@ -21,12 +21,12 @@
     LatencyHistogram latency;
     Duration work{};
     const Duration between(static_cast<std::int64_t>(static_cast<double>(service.serviceTime.count()) / (load * slots)));
-    for (Duration now = exponentialOf(random, between); now < duration; now += exponentialOf(random, between)) {
+    for (Duration now = drawExponential(random, between); now < duration; now += drawExponential(random, between)) {
         const Duration start = std::max(now, freeAt.top());
         if (start - now > maxWait) {
             continue;
         }
-        const Duration took = exponentialOf(random, service.serviceTime);
+        const Duration took = drawExponential(random, service.serviceTime);
         freeAt.pop();
         freeAt.push(start + took);
         work += took;
@@ -39,9 +39,9 @@
 {
     constexpr std::size_t BalancerCount = 8;
     pcg64 random(seed);
-    const auto hosts = static_cast<std::size_t>(service.hosts);
-    std::vector<std::vector<Duration>> runningUntil(hosts);
-    std::vector<double> busy(hosts);
+    const auto targets = static_cast<std::size_t>(service.targets);
+    std::vector<std::vector<Duration>> runningUntil(targets);
+    std::vector<double> busy(targets);
     std::array<std::size_t, BalancerCount> turn{};
     BaselineResult result;
     double work = 0;
@@ -50,16 +50,16 @@
         case BaselineKind::PlainHash:
             return static_cast<std::size_t>(hashPair(flow, 0) % count);
         case BaselineKind::RoundRobin:
-            return turn[below(random, BalancerCount)]++ % count;
+            return turn[drawIndex(random, BalancerCount)]++ % count;
         case BaselineKind::Random:
             break;
         }
-        return below(random, count);
+        return drawIndex(random, count);
     };
-    const Duration between(static_cast<std::int64_t>(static_cast<double>(service.serviceTime.count()) / (load * service.hosts * service.slots)));
-    for (Duration now = exponentialOf(random, between); now < duration; now += exponentialOf(random, between)) {
+    const Duration between(static_cast<std::int64_t>(static_cast<double>(service.serviceTime.count()) / (load * service.targets * service.slots)));
+    for (Duration now = drawExponential(random, between); now < duration; now += drawExponential(random, between)) {
         constexpr std::size_t FlowCount = 60;
-        const std::size_t host = pick(below(random, FlowCount), hosts);
+        const std::size_t host = pick(drawIndex(random, FlowCount), targets);
         std::vector<Duration> &running = runningUntil[host];
         std::erase_if(running, [now](Duration end) {
             return end <= now;
@@ -68,16 +68,16 @@
             ++result.refused;
             continue;
         }
-        const Duration took = exponentialOf(random, service.serviceTime);
+        const Duration took = drawExponential(random, service.serviceTime);
         running.push_back(now + took);
         busy[host] += static_cast<double>(took.count());
         work += static_cast<double>(took.count());
     }
-    result.goodput = work / (static_cast<double>(duration.count()) * service.hosts * service.slots);
-    result.imbalance = work > 0 ? *std::max_element(busy.begin(), busy.end()) * service.hosts / work : 1;
+    result.goodput = work / (static_cast<double>(duration.count()) * service.targets * service.slots);
+    result.imbalance = work > 0 ? *std::max_element(busy.begin(), busy.end()) * service.targets / work : 1;
     for (int feed = 0; feed < feeds; ++feed) {
         const auto flow = static_cast<std::uint64_t>(feed) + 1000;
-        result.brokenFlows += pick(flow, hosts) != pick(flow, hosts - 1) ? 1 : 0;
+        result.brokenFlows += pick(flow, targets) != pick(flow, targets - 1) ? 1 : 0;
     }
     return result;
 }
--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -54,7 +54,7 @@
     return static_cast<double>(duration.count()) / PerMillisecond;
 }
 
-void printHead()
+void printHeader()
 {
     std::cout << std::left << std::setw(38) << "scenario" << std::right << std::setw(7) << "sent" << std::setw(7) << "answ" << std::setw(7) << "notrun"
               << std::setw(6) << "unkn" << std::setw(7) << "broken" << std::setw(6) << "twice" << std::setw(6) << "false" << std::setw(6) << "wrong"
@@ -80,7 +80,7 @@
     SimulationOptions options;
 };
 
-std::vector<Scenario> scenariosOf(const std::string &place, const SimulatedDeployment &deployment, std::uint64_t seed)
+std::vector<Scenario> makeScenarios(const std::string &place, const SimulatedDeployment &deployment, std::uint64_t seed)
 {
     SimulationOptions base;
     base.deployment = deployment;
@@ -134,7 +134,7 @@
     }
 }
 
-void printIdealAndBaselines(const SimulatedDeployment &deployment, std::uint64_t seed)
+void printCentralQueueAndBaselines(const SimulatedDeployment &deployment, std::uint64_t seed)
 {
     constexpr Duration Length = seconds(30);
     constexpr Duration MaxWait = std::chrono::milliseconds(250);
@@ -142,7 +142,7 @@
     for (const SimulatedService &service : deployment.services) {
         std::cout << "service " << value(service.id) << ", central queue (goodput, p50 ms, p99 ms) and baselines (goodput, imbalance, broken of 40):\n";
         for (const double load : {0.5, 0.9, 1.2, 2.0}) {
-            const IdealResult ideal = simulateIdeal(service, load, Length, MaxWait, seed);
+            const CentralQueueResult ideal = simulateCentralQueue(service, load, Length, MaxWait, seed);
             std::cout << std::setprecision(1) << "  load " << load << std::setprecision(3) << "  ideal " << ideal.goodput << std::setprecision(0) << " "
                       << milliseconds(ideal.p50) << " " << milliseconds(ideal.p99) << std::setprecision(3);
             const std::pair<const char *, BaselineKind> kinds[] = {
@@ -203,11 +203,11 @@
 
 // ---- Hot path, timed ----
 
-constexpr std::size_t HeldFlows = 300'000;
+constexpr std::size_t MeasuredFlows = 300'000;
 
 // A balancer with peers, targets and many flows, built once.
-struct HotBalancer {
-    HotBalancer()
+struct BalancerFixture {
+    BalancerFixture()
         : core(settings())
     {
         const ServiceSettings services[] = {{ServiceId{1}, "rate-desk"}};
@@ -242,15 +242,15 @@
     BalancerCore<DealtSlots> core;
 };
 
-HotBalancer &hotBalancer()
+BalancerFixture &sharedBalancer()
 {
-    static HotBalancer hot;
+    static BalancerFixture hot;
     return hot;
 }
 
 void timeEstablished(benchmark::State &state)
 {
-    const HotBalancer &hot = hotBalancer();
+    const BalancerFixture &hot = sharedBalancer();
     const SealedConnectionId sealed = hot.core.context().sealer.seal({ServiceId{1}, TargetId{1}, hot.core.context().peers.self(), FlowId{1}});
     for (auto _ : state) {
         benchmark::DoNotOptimize(hot.core.route(sealed, ServiceId{1}));
@@ -267,7 +267,7 @@
 
 void timeOpening(benchmark::State &state)
 {
-    HotBalancer hot;
+    BalancerFixture hot;
     std::uint64_t nonce = 0;
     for (auto _ : state) {
         hot.core.handleCaller(hot.now, ServiceId{1}, {7, 7}, OpenFlow{++nonce});
@@ -277,7 +277,7 @@
 
 void timeAdmission(benchmark::State &state)
 {
-    HotBalancer hot;
+    BalancerFixture hot;
     hot.core.handleCaller(hot.now, ServiceId{1}, {7, 7}, OpenFlow{1});
     const auto opened = std::get<FlowOpened>(hot.core.takeOutbox().front().message);
     std::uint32_t request = 0;
@@ -298,7 +298,7 @@
 
 void timeFeedChoice(benchmark::State &state)
 {
-    HotBalancer &hot = hotBalancer();
+    BalancerFixture &hot = sharedBalancer();
     std::uint64_t flow = 0;
     for (auto _ : state) {
         benchmark::DoNotOptimize(chooseFeedTarget(hot.core.context().targets.targets(), ServiceId{1}, FlowId{++flow}, 8, std::nullopt, hot.now));
@@ -319,11 +319,11 @@
     for (auto _ : state) {
         const std::size_t before = mallinfo2().uordblks + mallinfo2().hblkhd;
         FlowTable table;
-        for (std::uint64_t flow = 1; flow <= HeldFlows; ++flow) {
+        for (std::uint64_t flow = 1; flow <= MeasuredFlows; ++flow) {
             table.insert(FlowId{hashPair(flow, 1)}, Flow{});
         }
         const std::size_t after = mallinfo2().uordblks + mallinfo2().hblkhd;
-        state.counters["bytes_per_flow"] = static_cast<double>(after - before) / HeldFlows;
+        state.counters["bytes_per_flow"] = static_cast<double>(after - before) / MeasuredFlows;
         state.counters["bytes_of_record"] = sizeof(Flow) + sizeof(FlowId);
     }
 }
@@ -355,21 +355,21 @@
         runTimed();
     }
     if (!arguments.at("--quick").asBool()) {
-        printHead();
+        printHeader();
         for (const auto &[place, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
             std::cout << "-- " << place << ", ways to share slots\n";
             compare<OwnCounts>("own counts", deployment, seed);
             compare<DealtTargets>("dealt targets", deployment, seed);
             compare<DealtSlotsAlone>("dealt slots alone", deployment, seed);
             compare<DealtSlots>("dealt slots, offload", deployment, seed);
-            printIdealAndBaselines(deployment, seed);
+            printCentralQueueAndBaselines(deployment, seed);
         }
     }
     std::vector<Row> rows;
     std::uint64_t signature = 0;
-    printHead();
+    printHeader();
     for (const auto &[place, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
-        for (const Scenario &scenario : scenariosOf(place, deployment, seed)) {
+        for (const Scenario &scenario : makeScenarios(place, deployment, seed)) {
             rows.push_back({scenario.name, Simulation<DealtSlots>(scenario.options).run()});
             signature = hashPair(signature, rows.back().result.signature());
             print(rows.back());
--- a/bench/deployments.cpp
+++ b/bench/deployments.cpp
@@ -16,8 +16,8 @@
 {
     SimulatedDeployment deployment;
     deployment.dataCentres = 4;
-    deployment.betweenDataCentres = std::chrono::microseconds(500);
-    deployment.toCallers = std::chrono::milliseconds(1);
+    deployment.interDataCentreDelay = std::chrono::microseconds(500);
+    deployment.callerDelay = std::chrono::milliseconds(1);
     deployment.services.push_back({ServiceId{1}, 14, 2, std::chrono::milliseconds(100), 1, false});
     deployment.services.push_back({ServiceId{2}, 4, 2, std::chrono::milliseconds(150), 5, true});
     return deployment;
@@ -37,11 +37,11 @@
 {
     using std::chrono::seconds;
     options.duration = seconds(95);
-    int hosts = 0;
+    int targets = 0;
     for (const SimulatedService &service : options.deployment.services) {
-        hosts += service.hosts;
+        targets += service.targets;
     }
-    for (int number = 1; number <= hosts; ++number) {
+    for (int number = 1; number <= targets; ++number) {
         options.faults.push_back({seconds(5 * (number - 1) + 1), FaultKind::DrainTarget, number});
         options.faults.push_back({seconds(5 * (number - 1) + 5), FaultKind::KillTarget, number});
         options.faults.push_back({seconds(5 * (number - 1) + 6), FaultKind::StartTarget, number});
@@ -52,7 +52,7 @@
 {
     options.drop = 0.1;
     options.duplicate = 0.1;
-    options.late = 0.1;
+    options.delayed = 0.1;
 }
 
 void combineAllFaults(SimulationOptions &options)
--- a/bench/random_draws.h
+++ b/bench/random_draws.h
@@ -13,21 +13,21 @@
 namespace Robinrail {
 
 template<typename Random>
-double uniformOf(Random &random)
+double drawUniform(Random &random)
 {
     boost::random::uniform_real_distribution<double> distribution(0, 1);
     return distribution(random);
 }
 
 template<typename Random>
-std::size_t below(Random &random, std::size_t count)
+std::size_t drawIndex(Random &random, std::size_t count)
 {
     boost::random::uniform_int_distribution<std::size_t> distribution(0, count - 1);
     return distribution(random);
 }
 
 template<typename Random>
-Duration exponentialOf(Random &random, Duration mean)
+Duration drawExponential(Random &random, Duration mean)
 {
     boost::random::exponential_distribution<double> distribution(1.0 / static_cast<double>(mean.count()));
     return Duration(1 + static_cast<std::int64_t>(distribution(random)));
--- a/bench/simulation.cpp
+++ b/bench/simulation.cpp
@@ -19,16 +19,16 @@
 
 constexpr Duration AnnounceInterval = std::chrono::seconds(1);
 constexpr Duration FeedInterval = std::chrono::milliseconds(200);
-constexpr Duration CallerTick = std::chrono::milliseconds(50);
-constexpr Duration OccupancySample = std::chrono::milliseconds(50);
-constexpr Duration InsideDataCentre = std::chrono::microseconds(100);
-constexpr Duration FabricCheck = std::chrono::milliseconds(200);
+constexpr Duration CallerTickInterval = std::chrono::milliseconds(50);
+constexpr Duration OccupancySampleInterval = std::chrono::milliseconds(50);
+constexpr Duration IntraDataCentreDelay = std::chrono::microseconds(100);
+constexpr Duration FabricCheckInterval = std::chrono::milliseconds(200);
 
 // The fabric goes on handing packets to a dead VM for this long.
-constexpr Duration FabricNotices = std::chrono::seconds(1);
+constexpr Duration FabricFailureDetection = std::chrono::seconds(1);
 
 constexpr Duration DrainGrace = std::chrono::seconds(3);
-constexpr Duration BrokenAfter = std::chrono::seconds(8);
+constexpr Duration BrokenFeedTimeout = std::chrono::seconds(8);
 
 // After the last arrival, so that every request comes to its end.
 constexpr Duration CoolDown = std::chrono::seconds(10);
@@ -78,8 +78,8 @@
     : m_options(options)
     , m_random(options.seed)
     , m_now(std::chrono::hours(1))
-    , m_measureFrom(m_now + options.warmUp)
-    , m_end(m_measureFrom + options.duration)
+    , m_measurementStart(m_now + options.warmUp)
+    , m_measurementEnd(m_measurementStart + options.duration)
     , m_occupancy(OccupancyBins)
 {
     const SimulatedDeployment &deployment = m_options.deployment;
@@ -92,7 +92,7 @@
     }
     std::uint32_t number = 0;
     for (const SimulatedService &service : deployment.services) {
-        for (int host = 0; host < service.hosts; ++host) {
+        for (int host = 0; host < service.targets; ++host) {
             TargetNode target;
             target.id = TargetId{++number};
             target.service = &service;
@@ -113,7 +113,7 @@
     }
     for (CallerNode &caller : m_callers) {
         if (!caller.feed) {
-            m_askers[value(caller.service->id)].push_back(&caller);
+            m_requestCallers[value(caller.service->id)].push_back(&caller);
         }
     }
 }
@@ -128,25 +128,25 @@
         startTarget(target);
     }
     for (CallerNode &caller : m_callers) {
-        every(CallerTick, [this, &caller] {
+        every(CallerTickInterval, [this, &caller] {
             caller.session->tick(m_now);
-            collect(caller);
+            processSession(caller);
             return true;
         });
     }
     for (const SimulatedService &service : m_options.deployment.services) {
-        arrive(service);
+        scheduleNextRequest(service);
     }
-    every(OccupancySample, [this] {
+    every(OccupancySampleInterval, [this] {
         sampleOccupancy();
         return true;
     });
     for (const Fault &fault : m_options.faults) {
-        at(m_measureFrom + fault.at, [this, fault] {
+        at(m_measurementStart + fault.at, [this, fault] {
             apply(fault);
         });
     }
-    while (!m_events.empty() && m_events.top().at <= m_end + CoolDown) {
+    while (!m_events.empty() && m_events.top().at <= m_measurementEnd + CoolDown) {
         Event event = m_events.top();
         m_events.pop();
         m_now = event.at;
@@ -200,19 +200,19 @@
 template<SlotPolicy Policy>
 double Simulation<Policy>::uniform()
 {
-    return uniformOf(m_random);
+    return drawUniform(m_random);
 }
 
 template<SlotPolicy Policy>
 Duration Simulation<Policy>::exponential(Duration mean)
 {
-    return exponentialOf(m_random, mean);
+    return drawExponential(m_random, mean);
 }
 
 template<SlotPolicy Policy>
 bool Simulation<Policy>::measuring() const
 {
-    return m_now >= m_measureFrom && m_now < m_end;
+    return m_now >= m_measurementStart && m_now < m_measurementEnd;
 }
 
 // ---- Balancers ----
@@ -242,7 +242,7 @@
         tickBalancer(node, run);
         return node.alive && node.run == run;
     });
-    every(FabricCheck, [this, &node, run] {
+    every(FabricCheckInterval, [this, &node, run] {
         if (node.run != run) {
             return false;
         }
@@ -250,7 +250,7 @@
             node.inFabric = node.core->ready();
             return true;
         }
-        after(FabricNotices, [&node, run] {
+        after(FabricFailureDetection, [&node, run] {
             node.inFabric = node.inFabric && node.run != run;
         });
         return false;
@@ -272,13 +272,13 @@
 }
 
 template<SlotPolicy Policy>
-void Simulation<Policy>::onBalancer(BalancerNode &node, const std::function<void()> &action)
+void Simulation<Policy>::runOnBalancer(BalancerNode &node, const std::function<void()> &action)
 {
     if (!node.alive) {
         return;
     }
     if (node.frozen) {
-        node.whileFrozen.push_back(action); // Waits in the socket.
+        node.deferredActions.push_back(action); // Waits in the socket.
         return;
     }
     action();
@@ -296,27 +296,27 @@
 template<SlotPolicy Policy>
 bool Simulation<Policy>::connected(int one, int other) const
 {
-    return one == other || (!m_cut.contains(one) && !m_cut.contains(other));
+    return one == other || (!m_isolatedDataCentres.contains(one) && !m_isolatedDataCentres.contains(other));
 }
 
 template<SlotPolicy Policy>
 Duration Simulation<Policy>::latency(int one, int other) const
 {
-    return one == other ? InsideDataCentre : m_options.deployment.betweenDataCentres;
+    return one == other ? IntraDataCentreDelay : m_options.deployment.interDataCentreDelay;
 }
 
 // Loses, repeats and delays a packet as the options say.
 template<SlotPolicy Policy>
 template<typename Deliver>
-void Simulation<Policy>::carry(Duration delay, bool mayDuplicate, Deliver deliver)
+void Simulation<Policy>::transmit(Duration delay, bool mayDuplicate, Deliver deliver)
 {
     const int copies = mayDuplicate && uniform() < m_options.duplicate ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
         if (uniform() < m_options.drop) {
             continue;
         }
-        const bool late = uniform() < m_options.late;
-        const Duration extra = late ? Duration(static_cast<std::int64_t>(uniform() * static_cast<double>(LateBy.count()))) : Duration(0);
+        const bool delayed = uniform() < m_options.delayed;
+        const Duration extra = delayed ? Duration(static_cast<std::int64_t>(uniform() * static_cast<double>(MaxExtraDelay.count()))) : Duration(0);
         after(delay + extra, deliver);
     }
 }
@@ -336,30 +336,30 @@
         if (!connected(from.dataCentre, to.dataCentre)) {
             return;
         }
-        carry(latency(from.dataCentre, to.dataCentre), true, [this, &to, peer = from.endpoint, message = outgoing.message] {
-            onBalancer(to, [this, &to, peer, message] {
+        transmit(latency(from.dataCentre, to.dataCentre), true, [this, &to, peer = from.endpoint, message = outgoing.message] {
+            runOnBalancer(to, [this, &to, peer, message] {
                 to.core->handlePeer(m_now, peer, message);
             });
         });
     } else if (network == TargetNetwork) {
         TargetNode &to = m_targets[index];
         if (connected(from.dataCentre, to.dataCentre)) {
-            carry(latency(from.dataCentre, to.dataCentre), false, [this, &to, &from, message = outgoing.message] {
-                takeTarget(to, from, message);
+            transmit(latency(from.dataCentre, to.dataCentre), false, [this, &to, &from, message = outgoing.message] {
+                handleTargetMessage(to, from, message);
             });
         }
     } else if (network == CallerNetwork) {
         CallerNode &to = m_callers[index];
-        carry(m_options.deployment.toCallers, true, [this, &to, message = outgoing.message] {
+        transmit(m_options.deployment.callerDelay, true, [this, &to, message = outgoing.message] {
             to.session->receive(m_now, message);
-            collect(to);
+            processSession(to);
         });
     }
 }
 
 // Any balancer may get any packet.
 template<SlotPolicy Policy>
-void Simulation<Policy>::toFabric(std::function<void(BalancerNode &)> deliver)
+void Simulation<Policy>::sendToAnyBalancer(std::function<void(BalancerNode &)> deliver)
 {
     std::vector<BalancerNode *> open;
     for (BalancerNode &node : m_balancers) {
@@ -370,8 +370,8 @@
     if (open.empty()) {
         return;
     }
-    BalancerNode &node = *open[below(m_random, open.size())];
-    onBalancer(node, [&node, deliver = std::move(deliver)] {
+    BalancerNode &node = *open[drawIndex(m_random, open.size())];
+    runOnBalancer(node, [&node, deliver = std::move(deliver)] {
         deliver(node);
     });
 }
@@ -412,8 +412,8 @@
     announcement.connections = 2000;
     announcement.draining = target.draining;
     announcement.reportedRunning = static_cast<std::uint16_t>(target.running.size());
-    carry(m_options.deployment.betweenDataCentres, true, [this, &target, announcement] {
-        toFabric([this, &target, announcement](BalancerNode &node) {
+    transmit(m_options.deployment.interDataCentreDelay, true, [this, &target, announcement] {
+        sendToAnyBalancer([this, &target, announcement](BalancerNode &node) {
             if (connected(node.dataCentre, target.dataCentre)) {
                 node.core->handleTarget(m_now, target.endpoint, announcement);
             }
@@ -428,7 +428,7 @@
 }
 
 template<SlotPolicy Policy>
-void Simulation<Policy>::takeTarget(TargetNode &target, BalancerNode &from, const Message &message)
+void Simulation<Policy>::handleTargetMessage(TargetNode &target, BalancerNode &from, const Message &message)
 {
     if (!target.alive || target.silent) {
         return;
@@ -444,7 +444,7 @@
             return;
         }
         target.feeds[attach->attachment] = {from.endpoint, attach->flow, attach->nextSequence};
-        answerFrom(target, from.endpoint, FeedAttached{attach->attachment, attach->flow});
+        sendFromTarget(target, from.endpoint, FeedAttached{attach->attachment, attach->flow});
         if (!known) {
             pushFeed(target, attach->attachment, target.run);
         }
@@ -461,9 +461,9 @@
     // The tag's lowest byte names the service that the caller asked.
     m_result.crossDeliveries += (tag & 0xffU) != value(target.service->id) ? 1 : 0;
     if (target.draining || target.running.size() >= target.service->slots) {
-        return answerFrom(target, from.endpoint, RunRefused{request.attempt});
+        return sendFromTarget(target, from.endpoint, RunRefused{request.attempt});
     }
-    ++m_tally[tag].executions;
+    ++m_requestTallies[tag].executions;
     setRunning(target, request.attempt, true);
     const Duration took = exponential(target.service->serviceTime);
     after(took, [this, &target, run = target.run, balancer = from.endpoint, request, took] {
@@ -474,7 +474,7 @@
         m_answeredWork += measuring() ? took : Duration(0);
         const auto count = static_cast<std::uint16_t>(target.service->parts);
         for (std::uint16_t part = 0; part < count; ++part) {
-            answerFrom(target, balancer, RunPart{request.attempt, part, count, request.body});
+            sendFromTarget(target, balancer, RunPart{request.attempt, part, count, request.body});
         }
     });
 }
@@ -482,12 +482,12 @@
 template<SlotPolicy Policy>
 void Simulation<Policy>::setRunning(TargetNode &target, const AttemptKey &attempt, bool running)
 {
-    const TimePoint from = std::max(target.busySince, m_measureFrom);
-    const TimePoint until = std::min(m_now, m_end);
+    const TimePoint from = std::max(target.busyUpdatedAt, m_measurementStart);
+    const TimePoint until = std::min(m_now, m_measurementEnd);
     if (until > from) {
         target.busy += (until - from) * static_cast<std::int64_t>(target.running.size());
     }
-    target.busySince = m_now;
+    target.busyUpdatedAt = m_now;
     if (running) {
         target.running.insert(attempt);
     } else {
@@ -497,14 +497,14 @@
 
 // A target answers to where the packet came from.
 template<SlotPolicy Policy>
-void Simulation<Policy>::answerFrom(TargetNode &target, Endpoint balancer, const Message &message)
+void Simulation<Policy>::sendFromTarget(TargetNode &target, Endpoint balancer, const Message &message)
 {
     BalancerNode &to = m_balancers[(balancer.address & ~NetworkMask) - 1];
     if (!connected(target.dataCentre, to.dataCentre)) {
         return;
     }
-    carry(latency(target.dataCentre, to.dataCentre), true, [this, &to, &target, message] {
-        onBalancer(to, [this, &to, &target, message] {
+    transmit(latency(target.dataCentre, to.dataCentre), true, [this, &to, &target, message] {
+        runOnBalancer(to, [this, &to, &target, message] {
             to.core->handleTarget(m_now, target.endpoint, message);
         });
     });
@@ -518,7 +518,7 @@
         return;
     }
     Feed &feed = at->second;
-    answerFrom(target, feed.balancer, FeedPush{attachment, feed.flow, feed.next, packTag(feed.next)});
+    sendFromTarget(target, feed.balancer, FeedPush{attachment, feed.flow, feed.next, packTag(feed.next)});
     ++feed.next;
     after(FeedInterval, [this, &target, attachment, run] {
         pushFeed(target, attachment, run);
@@ -528,33 +528,33 @@
 // ---- Callers ----
 
 template<SlotPolicy Policy>
-void Simulation<Policy>::arrive(const SimulatedService &service)
+void Simulation<Policy>::scheduleNextRequest(const SimulatedService &service)
 {
-    const double slots = service.hosts * service.slots;
+    const double slots = service.targets * service.slots;
     const double perMicrosecond = m_options.load * slots / static_cast<double>(service.serviceTime.count());
     if (perMicrosecond <= 0) {
         return;
     }
     after(exponential(Duration(static_cast<std::int64_t>(1.0 / perMicrosecond))), [this, &service] {
-        const std::vector<CallerNode *> &askers = m_askers[value(service.id)];
-        CallerNode &caller = *askers[below(m_random, askers.size())];
-        if (m_now < m_end && caller.session->opened()) {
+        const std::vector<CallerNode *> &requestCallers = m_requestCallers[value(service.id)];
+        CallerNode &caller = *requestCallers[drawIndex(m_random, requestCallers.size())];
+        if (m_now < m_measurementEnd && caller.session->opened()) {
             const std::uint64_t tag = ++m_lastTag << 8U | value(service.id);
-            m_tally[tag].repeatable = service.repeatable;
+            m_requestTallies[tag].repeatable = service.repeatable;
             m_result.sent += measuring() ? 1 : 0;
-            caller.asked[caller.session->request(m_now, service.repeatable, m_options.deadline, packTag(tag))] = tag;
-            collect(caller);
+            caller.openRequests[caller.session->request(m_now, service.repeatable, m_options.deadline, packTag(tag))] = tag;
+            processSession(caller);
         }
-        arrive(service);
+        scheduleNextRequest(service);
     });
 }
 
 template<SlotPolicy Policy>
-void Simulation<Policy>::collect(CallerNode &caller)
+void Simulation<Policy>::processSession(CallerNode &caller)
 {
     for (const Message &message : caller.session->takeOutbox()) {
-        carry(m_options.deployment.toCallers, true, [this, &caller, message] {
-            toFabric([this, &caller, message](BalancerNode &node) {
+        transmit(m_options.deployment.callerDelay, true, [this, &caller, message] {
+            sendToAnyBalancer([this, &caller, message](BalancerNode &node) {
                 node.core->handleCaller(m_now, caller.service->id, caller.endpoint, message);
             });
         });
@@ -567,17 +567,17 @@
         caller.longestStall = std::max(caller.longestStall, Duration(m_now - caller.session->lastItemAt()));
     }
     for (const CallResult &result : caller.session->takeResults()) {
-        settle(caller, result);
+        recordResult(caller, result);
     }
 }
 
 template<SlotPolicy Policy>
-void Simulation<Policy>::settle(CallerNode &caller, const CallResult &result)
+void Simulation<Policy>::recordResult(CallerNode &caller, const CallResult &result)
 {
-    const std::uint64_t tag = caller.asked.at(result.request);
-    caller.asked.erase(result.request);
-    m_tally[tag].saidNotRun = result.outcome == Outcome::NotRun;
-    const bool counted = m_now - result.took >= m_measureFrom;
+    const std::uint64_t tag = caller.openRequests.at(result.request);
+    caller.openRequests.erase(result.request);
+    m_requestTallies[tag].reportedNotRun = result.outcome == Outcome::NotRun;
+    const bool counted = m_now - result.took >= m_measurementStart;
     if (counted) {
         ++m_result.outcomes[static_cast<std::size_t>(result.outcome)];
         m_result.unanswered += result.timedOut ? 1 : 0;
@@ -613,7 +613,7 @@
     const auto index = static_cast<std::size_t>(fault.index - 1);
     switch (fault.kind) {
     case FaultKind::StopBalancer:
-        onBalancer(m_balancers[index], [this, index] {
+        runOnBalancer(m_balancers[index], [this, index] {
             m_balancers[index].core->stop(m_now, m_options.linger);
         });
         break;
@@ -629,8 +629,8 @@
     case FaultKind::UnfreezeBalancer: {
         BalancerNode &node = m_balancers[index];
         node.frozen = false;
-        for (const auto &action : std::exchange(node.whileFrozen, {})) {
-            onBalancer(node, action);
+        for (const auto &action : std::exchange(node.deferredActions, {})) {
+            runOnBalancer(node, action);
         }
         break;
     }
@@ -649,10 +649,10 @@
         m_targets[index].silent = true;
         break;
     case FaultKind::IsolateDataCentre:
-        m_cut.insert(fault.index);
+        m_isolatedDataCentres.insert(fault.index);
         break;
     case FaultKind::ReconnectDataCentre:
-        m_cut.erase(fault.index);
+        m_isolatedDataCentres.erase(fault.index);
         break;
     }
 }
@@ -661,12 +661,12 @@
 SimulationResult Simulation<Policy>::summarize()
 {
     SimulationResult &result = m_result;
-    for (const auto &[tag, tally] : m_tally) {
+    for (const auto &[tag, tally] : m_requestTallies) {
         result.runTwice += tally.executions > 1 && !tally.repeatable ? 1 : 0;
-        result.falseNotRun += tally.executions > 0 && tally.saidNotRun ? 1 : 0;
+        result.falseNotRun += tally.executions > 0 && tally.reportedNotRun ? 1 : 0;
     }
     for (const CallerNode &caller : m_callers) {
-        const bool stalled = caller.longestStall >= BrokenAfter;
+        const bool stalled = caller.longestStall >= BrokenFeedTimeout;
         result.brokenFlows += !caller.session->opened() || caller.wrongItem || stalled ? 1 : 0;
         result.longestStall = std::max(result.longestStall, caller.longestStall);
     }
@@ -680,8 +680,8 @@
                 highest = std::max(highest, static_cast<double>(target.busy.count()));
             }
         }
-        result.imbalance = sum > 0 ? std::max(result.imbalance, highest * service.hosts / sum) : result.imbalance;
-        available += static_cast<double>(m_options.duration.count()) * service.hosts * service.slots;
+        result.imbalance = sum > 0 ? std::max(result.imbalance, highest * service.targets / sum) : result.imbalance;
+        available += static_cast<double>(m_options.duration.count()) * service.targets * service.slots;
     }
     result.goodput = ratio(m_answeredWork, available);
     std::uint64_t samples = 0;
--- a/bench/simulation.h
+++ b/bench/simulation.h
@@ -21,7 +21,7 @@
 
 struct SimulatedService {
     ServiceId id{};
-    int hosts = 0;
+    int targets = 0;
     std::uint16_t slots = 0;
     Duration serviceTime{}; // Mean; exponentially distributed.
     int parts = 1;
@@ -31,8 +31,8 @@
 struct SimulatedDeployment {
     int balancers = 8;
     int dataCentres = 3;
-    Duration betweenDataCentres = std::chrono::milliseconds(1);
-    Duration toCallers = std::chrono::milliseconds(3);
+    Duration interDataCentreDelay = std::chrono::milliseconds(1);
+    Duration callerDelay = std::chrono::milliseconds(3);
     std::vector<SimulatedService> services;
 };
 
@@ -71,7 +71,7 @@
     Duration deadline = std::chrono::seconds(2);
     double drop = 0; // Of packets on every leg.
     double duplicate = 0; // On legs into balancers and to callers.
-    double late = 0; // Delayed by up to LateBy.
+    double delayed = 0; // Delayed by up to MaxExtraDelay.
     Duration linger = std::chrono::seconds(4);
     std::vector<Fault> faults; // Times after the warm-up.
 };
@@ -109,7 +109,7 @@
     std::uint64_t signature() const;
 };
 
-inline constexpr Duration LateBy = std::chrono::milliseconds(300);
+inline constexpr Duration MaxExtraDelay = std::chrono::milliseconds(300);
 
 template<SlotPolicy Policy>
 class Simulation
@@ -134,7 +134,7 @@
         bool inFabric = false;
         std::uint64_t run = 0;
         std::uint64_t controlBytes = 0;
-        std::vector<std::function<void()>> whileFrozen;
+        std::vector<std::function<void()>> deferredActions;
     };
     struct Feed {
         Endpoint balancer;
@@ -155,21 +155,21 @@
         std::set<AttemptKey> running;
         std::map<AttemptKey, Feed> feeds;
         Duration busy{};
-        TimePoint busySince;
+        TimePoint busyUpdatedAt;
     };
     struct CallerNode {
         Endpoint endpoint;
         const SimulatedService *service = nullptr;
         bool feed = false;
         std::unique_ptr<CallerSession> session;
-        std::map<RequestId, std::uint64_t> asked; // Tag of each open request.
+        std::map<RequestId, std::uint64_t> openRequests; // Tag of each open request.
         Duration longestStall{};
         bool wrongItem = false;
     };
-    struct Tally {
+    struct RequestTally {
         int executions = 0;
         bool repeatable = false;
-        bool saidNotRun = false;
+        bool reportedNotRun = false;
     };
     struct Event {
         TimePoint at;
@@ -192,42 +192,42 @@
     void startTarget(TargetNode &node);
     void apply(const Fault &fault);
     void tickBalancer(BalancerNode &node, std::uint64_t run);
-    void onBalancer(BalancerNode &node, const std::function<void()> &action);
+    void runOnBalancer(BalancerNode &node, const std::function<void()> &action);
     void flush(BalancerNode &node);
     void route(BalancerNode &from, const Outgoing &outgoing);
     bool connected(int one, int other) const;
     Duration latency(int one, int other) const;
     template<typename Deliver>
-    void carry(Duration delay, bool mayDuplicate, Deliver deliver);
-    void toFabric(std::function<void(BalancerNode &)> deliver);
+    void transmit(Duration delay, bool mayDuplicate, Deliver deliver);
+    void sendToAnyBalancer(std::function<void(BalancerNode &)> deliver);
 
-    void takeTarget(TargetNode &target, BalancerNode &from, const Message &message);
+    void handleTargetMessage(TargetNode &target, BalancerNode &from, const Message &message);
     void runRequest(TargetNode &target, BalancerNode &from, const RunRequest &request);
-    void answerFrom(TargetNode &target, Endpoint balancer, const Message &message);
+    void sendFromTarget(TargetNode &target, Endpoint balancer, const Message &message);
     void announce(TargetNode &target, std::uint64_t run);
     void pushFeed(TargetNode &target, AttemptKey attachment, std::uint64_t run);
     void setRunning(TargetNode &target, const AttemptKey &attempt, bool running);
     bool isLate(const TargetNode &target) const;
 
-    void arrive(const SimulatedService &service);
-    void collect(CallerNode &caller);
-    void settle(CallerNode &caller, const CallResult &result);
+    void scheduleNextRequest(const SimulatedService &service);
+    void processSession(CallerNode &caller);
+    void recordResult(CallerNode &caller, const CallResult &result);
     void sampleOccupancy();
     SimulationResult summarize();
 
     SimulationOptions m_options;
     pcg64 m_random;
     TimePoint m_now;
-    TimePoint m_measureFrom;
-    TimePoint m_end;
+    TimePoint m_measurementStart;
+    TimePoint m_measurementEnd;
     std::uint64_t m_order = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
     std::vector<BalancerNode> m_balancers;
     std::vector<TargetNode> m_targets;
     std::vector<CallerNode> m_callers;
-    std::map<std::uint16_t, std::vector<CallerNode *>> m_askers; // Callers of requests by service.
-    std::set<int> m_cut;
-    std::map<std::uint64_t, Tally> m_tally;
+    std::map<std::uint16_t, std::vector<CallerNode *>> m_requestCallers; // Callers of requests by service.
+    std::set<int> m_isolatedDataCentres;
+    std::map<std::uint64_t, RequestTally> m_requestTallies;
     std::uint64_t m_lastTag = 0;
     Duration m_answeredWork{};
     std::vector<std::uint64_t> m_occupancy; // Samples by tenth of a host's slots.
@@ -236,12 +236,12 @@
 };
 
 // The same arrivals at one central queue that knows everything: what no real balancer can beat.
-struct IdealResult {
+struct CentralQueueResult {
     double goodput = 0;
     Duration p50{};
     Duration p99{};
 };
-IdealResult simulateIdeal(const SimulatedService &service, double load, Duration duration, Duration maxWait, std::uint64_t seed);
+CentralQueueResult simulateCentralQueue(const SimulatedService &service, double load, Duration duration, Duration maxWait, std::uint64_t seed);
 
 // The baselines: no connection ids, no owner, no counts; each packet picks a target by itself.
 enum class BaselineKind : std::uint8_t {
