--- a/src/standin_caller.cpp
+++ b/src/standin_caller.cpp
@@ -23,7 +23,7 @@
 constexpr std::uint32_t CallerNetwork = 0x7f020000; // 127.2.0.0
 
 // A feed that got nothing for this long is broken, whatever came later.
-constexpr Duration BrokenAfter = std::chrono::seconds(8);
+constexpr Duration BrokenFeedTimeout = std::chrono::seconds(8);
 
 // One flow with its socket.
 struct CallerFlow {
@@ -37,7 +37,7 @@
     std::uint64_t feedItems = 0;
     Duration longestStall{};
     bool wrongItem = false;
-    std::map<RequestId, StandinBody> asked;
+    std::map<RequestId, StandinBody> openRequests;
 };
 
 class StandinCallers
@@ -80,7 +80,7 @@
         flow->socket = std::make_unique<DatagramSocket>(m_io, Endpoint{CallerNetwork + caller, 0}, [this, at = flow.get()](Endpoint, BytesView bytes) {
             if (const auto message = decodeMessage<Message>(bytes)) {
                 at->session->receive(monotonicNow(), *message);
-                collect(*at);
+                processSession(*at);
             }
         });
         m_flows.push_back(std::move(flow));
@@ -93,9 +93,9 @@
         for (const std::unique_ptr<CallerFlow> &flow : m_flows) {
             flow->session->tick(now);
             if (now < m_end) {
-                ask(now, *flow);
+                sendRequest(now, *flow);
             }
-            collect(*flow);
+            processSession(*flow);
             waiting = waiting || flow->session->pending() > 0;
         }
         if (now >= m_end && !waiting) {
@@ -112,7 +112,7 @@
     }
 
     // One request at a time, then a pause; a refusal's retry-after is obeyed.
-    void ask(TimePoint now, CallerFlow &flow)
+    void sendRequest(TimePoint now, CallerFlow &flow)
     {
         if (flow.feed || !flow.session->opened() || flow.session->pending() > 0 || now < flow.nextRequest) {
             return;
@@ -121,46 +121,46 @@
         body.caller = flow.caller + (flow.repeatable ? m_options.clients + m_options.feeds : 0);
         body.number = ++m_lastNumber;
         body.repeatable = flow.repeatable;
-        flow.asked[flow.session->request(now, flow.repeatable, RequestDeadline, packBody(body))] = body;
+        flow.openRequests[flow.session->request(now, flow.repeatable, RequestDeadline, encodeBody(body))] = body;
         ++m_sent;
     }
 
-    void collect(CallerFlow &flow)
+    void processSession(CallerFlow &flow)
     {
         const TimePoint now = monotonicNow();
         for (const Message &message : flow.session->takeOutbox()) {
             flow.socket->send(flow.service, message);
         }
         for (const FeedItem &item : flow.session->takeItems()) {
-            const std::optional<StandinBody> body = unpackBody(item.body);
+            const std::optional<StandinBody> body = decodeBody(item.body);
             flow.wrongItem = flow.wrongItem || !body || body->number != item.sequence || item.sequence != ++flow.feedItems;
         }
         if (flow.feed && flow.session->opened()) {
             flow.longestStall = std::max(flow.longestStall, Duration(now - flow.session->lastItemAt()));
         }
         for (const CallResult &result : flow.session->takeResults()) {
-            settle(now, flow, result);
+            recordResult(now, flow, result);
         }
     }
 
-    void settle(TimePoint now, CallerFlow &flow, const CallResult &result)
+    void recordResult(TimePoint now, CallerFlow &flow, const CallResult &result)
     {
         boost::random::exponential_distribution<double> think(1.0 / m_options.thinkMs);
         flow.nextRequest = now + std::max(result.retryAfter, Duration(std::chrono::milliseconds(static_cast<int>(think(m_random)))));
-        const StandinBody asked = flow.asked.at(result.request);
-        flow.asked.erase(result.request);
+        const StandinBody openRequests = flow.openRequests.at(result.request);
+        flow.openRequests.erase(result.request);
         ++m_outcomes[static_cast<std::size_t>(result.outcome)];
         m_timedOut += result.timedOut ? 1 : 0;
         if (result.outcome == Outcome::NotRun) {
-            m_notRun.push_back(tagOf(asked) + (asked.repeatable ? "r" : ""));
+            m_notRun.push_back(requestTag(openRequests) + (openRequests.repeatable ? "r" : ""));
         }
         if (result.outcome != Outcome::Answered) {
             return;
         }
         m_latency.record(result.took);
         for (std::size_t index = 0; index < result.parts.size(); ++index) {
-            const std::optional<StandinBody> part = unpackBody(result.parts[index]);
-            const bool own = part && part->caller == asked.caller && part->number == asked.number && part->part == index;
+            const std::optional<StandinBody> part = decodeBody(result.parts[index]);
+            const bool own = part && part->caller == openRequests.caller && part->number == openRequests.number && part->part == index;
             m_wrongAnswers += own ? 0 : 1;
         }
     }
@@ -173,7 +173,8 @@
         Duration longestStall{};
         for (const std::unique_ptr<CallerFlow> &flow : m_flows) {
             opened += flow->session->opened() ? 1 : 0;
-            const bool feedBroken = flow->feed && (flow->wrongItem || flow->longestStall >= BrokenAfter || now - flow->session->lastItemAt() >= BrokenAfter);
+            const bool feedBroken = flow->feed
+                && (flow->wrongItem || flow->longestStall >= BrokenFeedTimeout || now - flow->session->lastItemAt() >= BrokenFeedTimeout);
             broken += !flow->session->opened() || feedBroken ? 1 : 0;
             items += flow->feedItems;
             longestStall = std::max(longestStall, flow->longestStall);
--- a/src/standin_common.h
+++ b/src/standin_common.h
@@ -28,19 +28,19 @@
     }
 };
 
-inline Bytes packBody(const StandinBody &body)
+inline Bytes encodeBody(const StandinBody &body)
 {
     return encodeMessage(std::variant<StandinBody>(body));
 }
 
-inline std::optional<StandinBody> unpackBody(BytesView bytes)
+inline std::optional<StandinBody> decodeBody(BytesView bytes)
 {
     const auto body = decodeMessage<std::variant<StandinBody>>(bytes);
     return body ? std::optional(std::get<StandinBody>(*body)) : std::nullopt;
 }
 
 // A name for one request in reports.
-inline std::string tagOf(const StandinBody &body)
+inline std::string requestTag(const StandinBody &body)
 {
     return std::to_string(body.caller) + "/" + std::to_string(body.number);
 }
--- a/src/standin_fabric.cpp
+++ b/src/standin_fabric.cpp
@@ -28,7 +28,7 @@
         , m_options(options)
         , m_random(random)
         , m_socket(io, *parseEndpoint(route.listen), [this](Endpoint from, BytesView bytes) {
-            take(from, bytes);
+            handleDatagram(from, bytes);
         })
     {
         for (const std::string &balancer : route.balancers) {
@@ -37,19 +37,19 @@
     }
 
 private:
-    void take(Endpoint caller, BytesView bytes)
+    void handleDatagram(Endpoint caller, BytesView bytes)
     {
-        DatagramSocket &socket = socketOf(caller);
+        DatagramSocket &socket = socketFor(caller);
         if (chance(m_options.drop)) {
             return;
         }
-        socket.send(pick(), bytes);
+        socket.send(pickBalancer(), bytes);
         if (chance(m_options.duplicate)) {
-            socket.send(pick(), bytes);
+            socket.send(pickBalancer(), bytes);
         }
     }
 
-    DatagramSocket &socketOf(Endpoint caller)
+    DatagramSocket &socketFor(Endpoint caller)
     {
         std::unique_ptr<DatagramSocket> &socket = m_callers[caller];
         if (!socket) {
@@ -61,7 +61,7 @@
         return *socket;
     }
 
-    Endpoint pick()
+    Endpoint pickBalancer()
     {
         boost::random::uniform_int_distribution<std::size_t> any(0, m_balancers.size() - 1);
         return m_balancers[any(m_random)];
--- a/src/standin_target.cpp
+++ b/src/standin_target.cpp
@@ -34,7 +34,7 @@
         , m_socket(io,
                    m_endpoint,
                    [this](Endpoint from, BytesView bytes) {
-                       take(from, bytes);
+                       handleDatagram(from, bytes);
                    })
         , m_announceTimer(io)
         , m_signals(io, SIGTERM, SIGINT, SIGUSR1)
@@ -45,7 +45,7 @@
     }
 
 private:
-    struct Run {
+    struct RunningRequest {
         std::unique_ptr<boost::asio::steady_timer> timer;
     };
     struct Feed {
@@ -111,39 +111,39 @@
         m_socket.send(m_fabric, announcement);
     }
 
-    void take(Endpoint from, BytesView bytes)
+    void handleDatagram(Endpoint from, BytesView bytes)
     {
         const std::optional<Message> message = decodeMessage<Message>(bytes);
         if (!message) {
             return;
         }
         if (const auto *run = std::get_if<RunRequest>(&*message)) {
-            takeRun(from, *run);
+            handleRun(from, *run);
         } else if (const auto *cancel = std::get_if<CancelRun>(&*message)) {
             m_runs.erase(cancel->attempt);
         } else if (const auto *attach = std::get_if<AttachFeed>(&*message)) {
-            takeAttach(from, *attach);
+            handleAttach(from, *attach);
         } else if (const auto *detach = std::get_if<DetachFeed>(&*message)) {
             m_feeds.erase(detach->attachment);
         }
     }
 
-    bool late() const
+    bool isLate() const
     {
         return m_draining && monotonicNow() - m_drainedAt > DrainGrace;
     }
 
-    void takeRun(Endpoint from, const RunRequest &run)
+    void handleRun(Endpoint from, const RunRequest &run)
     {
-        m_lateWork += late() ? 1 : 0;
+        m_lateWork += isLate() ? 1 : 0;
         if (m_draining || m_runs.size() >= m_options.slots) {
             ++m_refused;
             m_socket.send(from, RunRefused{run.attempt});
             return;
         }
-        const std::optional<StandinBody> body = unpackBody(run.body);
+        const std::optional<StandinBody> body = decodeBody(run.body);
         if (body) {
-            m_executed.push_back(tagOf(*body) + (body->repeatable ? "r" : ""));
+            m_executed.push_back(requestTag(*body) + (body->repeatable ? "r" : ""));
         }
         boost::random::exponential_distribution<double> distribution(1.0 / m_options.serviceMs);
         constexpr int Shortest = 1;
@@ -163,15 +163,15 @@
         const auto count = static_cast<std::uint16_t>(m_options.parts);
         for (std::uint16_t part = 0; part < count; ++part) {
             body.part = part;
-            m_socket.send(from, RunPart{attempt, part, count, packBody(body)});
+            m_socket.send(from, RunPart{attempt, part, count, encodeBody(body)});
         }
         m_runs.erase(attempt);
     }
 
-    void takeAttach(Endpoint from, const AttachFeed &attach)
+    void handleAttach(Endpoint from, const AttachFeed &attach)
     {
         const auto known = m_feeds.find(attach.attachment);
-        m_lateWork += known == m_feeds.end() && late() ? 1 : 0;
+        m_lateWork += known == m_feeds.end() && isLate() ? 1 : 0;
         if (known == m_feeds.end() && (m_draining || m_feeds.size() >= m_options.connections)) {
             return;
         }
@@ -182,11 +182,11 @@
         m_socket.send(from, FeedAttached{attach.attachment, attach.flow});
         if (!feed.timer) {
             feed.timer = std::make_unique<boost::asio::steady_timer>(m_io);
-            push(attach.attachment);
+            pushFeedItem(attach.attachment);
         }
     }
 
-    void push(const AttemptKey &attachment)
+    void pushFeedItem(const AttemptKey &attachment)
     {
         const auto at = m_feeds.find(attachment);
         if (at == m_feeds.end()) {
@@ -195,12 +195,12 @@
         Feed &feed = at->second;
         StandinBody body;
         body.number = static_cast<std::uint32_t>(feed.next);
-        m_socket.send(feed.balancer, FeedPush{attachment, feed.flow, feed.next, packBody(body)});
+        m_socket.send(feed.balancer, FeedPush{attachment, feed.flow, feed.next, encodeBody(body)});
         ++feed.next;
         feed.timer->expires_after(std::chrono::milliseconds(m_options.feedMs));
         feed.timer->async_wait([this, attachment](const boost::system::error_code &error) {
             if (!error) {
-                push(attachment);
+                pushFeedItem(attachment);
             }
         });
     }
@@ -217,7 +217,7 @@
     std::uint64_t m_sequence = 0;
     bool m_draining = false;
     TimePoint m_drainedAt;
-    std::map<AttemptKey, Run> m_runs;
+    std::map<AttemptKey, RunningRequest> m_runs;
     std::map<AttemptKey, Feed> m_feeds;
     std::vector<std::string> m_executed;
     int m_lateWork = 0;
--- a/src/standin_verify.cpp
+++ b/src/standin_verify.cpp
@@ -30,7 +30,7 @@
     std::size_t missing = 0;
 };
 
-TargetTotals sumTargets(const std::vector<std::string> &paths)
+TargetTotals sumTargetReports(const std::vector<std::string> &paths)
 {
     TargetTotals totals;
     for (const std::string &path : paths) {
@@ -63,7 +63,7 @@
 int verifyReports(const StandinVerifyOptions &options)
 {
     const Json callers = readReport(options.callers);
-    const TargetTotals totals = sumTargets(options.targets);
+    const TargetTotals totals = sumTargetReports(options.targets);
     if (!callers.is_object() || totals.missing > 0) {
         std::cout << "reports missing: " << totals.missing + (callers.is_object() ? 0 : 1) << '\n';
         return 1;
@@ -84,7 +84,7 @@
     }
     std::cout << "seconds to be in force, first bundle: " << options.firstRolloutSeconds << '\n';
     std::cout << "seconds to be in force, second bundle under traffic: " << options.rolloutSeconds << '\n';
-    const std::pair<const char *, std::uint64_t> zeros[] = {
+    const std::pair<const char *, std::uint64_t> invariants[] = {
         {"broken flows", callers["broken"].get<std::uint64_t>()},
         {"requests run twice", static_cast<std::uint64_t>(runTwice)},
         {"false \"not run\"", falseNotRun},
@@ -92,7 +92,7 @@
         {"work at a leaving target after 3 s", totals.lateWork},
     };
     std::uint64_t sum = 0;
-    for (const auto &[name, figure] : zeros) {
+    for (const auto &[name, figure] : invariants) {
         std::cout << "must be 0: " << name << ": " << figure << '\n';
         sum += figure;
     }
