--- a/bench/baselines.cpp
+++ b/bench/baselines.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Baselines: one ideal queue before all slots, and plain ways to choose a target, to compare with.
+// Reference points for the benchmark: an ideal central queue, and stateless ways to choose a target.
 #include "simulation.h"
 
 #include "hash.h"
@@ -59,8 +59,8 @@
     const Duration between(static_cast<std::int64_t>(static_cast<double>(service.serviceTime.count()) / (load * service.targets * service.slots)));
     for (Duration now = drawExponential(random, between); now < duration; now += drawExponential(random, between)) {
         constexpr std::size_t FlowCount = 60;
-        const std::size_t host = pick(drawIndex(random, FlowCount), targets);
-        std::vector<Duration> &running = runningUntil[host];
+        const std::size_t target = pick(drawIndex(random, FlowCount), targets);
+        std::vector<Duration> &running = runningUntil[target];
         std::erase_if(running, [now](Duration end) {
             return end <= now;
         });
@@ -70,7 +70,7 @@
         }
         const Duration took = drawExponential(random, service.serviceTime);
         running.push_back(now + took);
-        busy[host] += static_cast<double>(took.count());
+        busy[target] += static_cast<double>(took.count());
         work += static_cast<double>(took.count());
     }
     result.goodput = work / (static_cast<double>(duration.count()) * service.targets * service.slots);
--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Bench: a fixed workload in virtual time, the baselines beside it, and the hot path in real time.
+// Benchmark: a fixed workload in virtual time, baselines for comparison, and the hot path in real time.
 //
-// The last line, "Bench: N", mixes all deterministic figures into one number. It is the same on every
-// run, so a refactoring leaves it alone and a change of behaviour moves it.
+// The last line, "Bench: N", is a signature of the deterministic figures. It is the same on every run: a pure
+// refactoring keeps it, a functional change alters it.
 #include "hash.h"
 #include "simulation.h"
 #include "target_choice.h"
@@ -43,7 +43,7 @@
     SimulationResult result;
 };
 
-std::uint64_t unknown(const SimulationResult &result)
+std::uint64_t unknownOutcomes(const SimulationResult &result)
 {
     return result.outcomes[static_cast<std::size_t>(Outcome::OutcomeUnknown)];
 }
@@ -66,11 +66,11 @@
 {
     const SimulationResult &result = row.result;
     std::cout << std::left << std::setw(38) << row.name << std::right << std::setw(7) << result.sent << std::setw(7) << result.outcomes[0] << std::setw(7)
-              << result.outcomes[1] << std::setw(6) << unknown(result) << std::setw(7) << result.brokenFlows << std::setw(6) << result.runTwice << std::setw(6)
-              << result.falseNotRun << std::setw(6) << result.wrongAnswers << std::setw(6) << result.lateWork << std::fixed << std::setprecision(3)
-              << std::setw(7) << result.imbalance << std::setprecision(2) << std::setw(6) << result.occupancyP99 << std::setprecision(3) << std::setw(8)
-              << result.goodput << std::setprecision(0) << std::setw(7) << milliseconds(result.p50) << std::setw(7) << milliseconds(result.p99) << std::setw(8)
-              << result.retries << std::setw(7) << result.controlBytesPerSecond << '\n';
+              << result.outcomes[1] << std::setw(6) << unknownOutcomes(result) << std::setw(7) << result.brokenFlows << std::setw(6) << result.runTwice
+              << std::setw(6) << result.falseNotRun << std::setw(6) << result.wrongAnswers << std::setw(6) << result.lateWork << std::fixed
+              << std::setprecision(3) << std::setw(7) << result.imbalance << std::setprecision(2) << std::setw(6) << result.occupancyP99 << std::setprecision(3)
+              << std::setw(8) << result.goodput << std::setprecision(0) << std::setw(7) << milliseconds(result.p50) << std::setw(7) << milliseconds(result.p99)
+              << std::setw(8) << result.retries << std::setw(7) << result.controlBytesPerSecond << '\n';
 }
 
 // ---- Scenarios ----
@@ -80,7 +80,7 @@
     SimulationOptions options;
 };
 
-std::vector<Scenario> makeScenarios(const std::string &place, const SimulatedDeployment &deployment, std::uint64_t seed)
+std::vector<Scenario> makeScenarios(const std::string &deploymentName, const SimulatedDeployment &deployment, std::uint64_t seed)
 {
     SimulationOptions base;
     base.deployment = deployment;
@@ -90,7 +90,7 @@
     const auto add = [&](const std::string &name, const std::function<void(SimulationOptions &)> &change) {
         SimulationOptions options = base;
         change(options);
-        scenarios.push_back({place + " " + name, options});
+        scenarios.push_back({deploymentName + " " + name, options});
     };
     for (const double load : {0.0, 0.5, 0.9, 1.2, 2.0}) {
         std::ostringstream name;
@@ -121,7 +121,7 @@
 // ---- Comparison of policies ----
 
 template<SlotPolicy Policy>
-void compare(const char *name, const SimulatedDeployment &deployment, std::uint64_t seed)
+void printPolicyRows(const char *name, const SimulatedDeployment &deployment, std::uint64_t seed)
 {
     for (const double load : {0.5, 0.9, 1.2, 2.0}) {
         SimulationOptions options;
@@ -161,7 +161,7 @@
 
 // ---- Bounds ----
 
-// Compares one figure of one scenario with its bounds; prints and counts what is outside.
+// Returns 1 and prints a line if the figure is outside its bounds, otherwise 0.
 int checkBound(const Row &row, const std::string &figure, double number, const Json &bound)
 {
     const double lowest = bound.value("min", -1e300);
@@ -205,7 +205,7 @@
 
 constexpr std::size_t MeasuredFlows = 300'000;
 
-// A balancer with peers, targets and many flows, built once.
+// A balancer with 8 members in its cluster and 14 targets.
 struct BalancerFixture {
     BalancerFixture()
         : core(settings())
@@ -313,7 +313,7 @@
     }
 }
 
-// Bytes of heap for each held flow.
+// Heap bytes per flow in the flow table, beside the plain size of an entry.
 void measureFlowMemory(benchmark::State &state)
 {
     for (auto _ : state) {
@@ -350,26 +350,26 @@
     }
     const std::uint64_t seed = std::strtoull(arguments.at("--seed").asString().c_str(), nullptr, 10);
     if (arguments.at("--timed").asBool()) {
-        int none = 1;
-        benchmark::Initialize(&none, argv);
+        int argumentCount = 1;
+        benchmark::Initialize(&argumentCount, argv);
         runTimed();
     }
     if (!arguments.at("--quick").asBool()) {
         printHeader();
-        for (const auto &[place, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
-            std::cout << "-- " << place << ", ways to share slots\n";
-            compare<OwnCounts>("own counts", deployment, seed);
-            compare<DealtTargets>("dealt targets", deployment, seed);
-            compare<DealtSlotsAlone>("dealt slots alone", deployment, seed);
-            compare<DealtSlots>("dealt slots, offload", deployment, seed);
+        for (const auto &[deploymentName, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
+            std::cout << "-- " << deploymentName << ", ways to share slots\n";
+            printPolicyRows<OwnCounts>("own counts", deployment, seed);
+            printPolicyRows<DealtTargets>("dealt targets", deployment, seed);
+            printPolicyRows<DealtSlotsAlone>("dealt slots alone", deployment, seed);
+            printPolicyRows<DealtSlots>("dealt slots, offload", deployment, seed);
             printCentralQueueAndBaselines(deployment, seed);
         }
     }
     std::vector<Row> rows;
     std::uint64_t signature = 0;
     printHeader();
-    for (const auto &[place, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
-        for (const Scenario &scenario : makeScenarios(place, deployment, seed)) {
+    for (const auto &[deploymentName, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
+        for (const Scenario &scenario : makeScenarios(deploymentName, deployment, seed)) {
             rows.push_back({scenario.name, Simulation<DealtSlots>(scenario.options).run()});
             signature = hashPair(signature, rows.back().result.signature());
             print(rows.back());
--- a/bench/deployments.cpp
+++ b/bench/deployments.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Deployments: the two small deployments and the schedules of faults that benchmark and tests share.
+// The two reference deployments and the fault schedules shared by the benchmark and the tests.
 #include "simulation.h"
 
 namespace Robinrail {
--- a/bench/random_draws.h
+++ b/bench/random_draws.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Random draws: the distributions that simulations draw from, of any generator.
+// Random draws for the simulation, from any uniform random bit generator.
 #pragma once
 
 #include "types.h"
@@ -12,6 +12,7 @@
 
 namespace Robinrail {
 
+// From [0, 1).
 template<typename Random>
 double drawUniform(Random &random)
 {
@@ -19,6 +20,7 @@
     return distribution(random);
 }
 
+// From [0, count).
 template<typename Random>
 std::size_t drawIndex(Random &random, std::size_t count)
 {
@@ -26,6 +28,7 @@
     return distribution(random);
 }
 
+// At least 1 us, so that a draw is never zero.
 template<typename Random>
 Duration drawExponential(Random &random, Duration mean)
 {
--- a/bench/simulation.cpp
+++ b/bench/simulation.cpp
@@ -24,18 +24,21 @@
 constexpr Duration IntraDataCentreDelay = std::chrono::microseconds(100);
 constexpr Duration FabricCheckInterval = std::chrono::milliseconds(200);
 
-// The fabric goes on handing packets to a dead VM for this long.
+// The fabric keeps sending packets to a dead VM for this long.
 constexpr Duration FabricFailureDetection = std::chrono::seconds(1);
 
+// New work that reaches a target later than this after it began to drain is counted as late.
 constexpr Duration DrainGrace = std::chrono::seconds(3);
+
+// A feed that delivered nothing for this long counts as broken.
 constexpr Duration BrokenFeedTimeout = std::chrono::seconds(8);
 
-// After the last arrival, so that every request comes to its end.
+// Time simulated after the last arrival, so that every request completes or times out.
 constexpr Duration CoolDown = std::chrono::seconds(10);
 
-// As in life, where incarnations are milliseconds since 1970, for the size of messages.
+// Real incarnations are milliseconds since 1970; values of that size give messages their real length.
 constexpr std::uint64_t FirstIncarnation = 1'700'000'000'000;
-constexpr int OccupancyBins = 21;
+constexpr int OccupancyBins = 21; // Steps of 5%, from 0 to 100%.
 
 Bytes packTag(std::uint64_t tag)
 {
@@ -92,7 +95,7 @@
     }
     std::uint32_t number = 0;
     for (const SimulatedService &service : deployment.services) {
-        for (int host = 0; host < service.targets; ++host) {
+        for (int i = 0; i < service.targets; ++i) {
             TargetNode target;
             target.id = TargetId{++number};
             target.service = &service;
@@ -182,7 +185,7 @@
 template<SlotPolicy Policy>
 void Simulation<Policy>::every(Duration interval, std::function<bool()> action)
 {
-    // The first turn is spread, so that not everything happens at once.
+    // A random phase, so that periodic actions of different nodes do not coincide.
     const Duration first(static_cast<std::int64_t>(uniform() * static_cast<double>(interval.count())));
     const auto turn = std::make_shared<std::function<void()>>();
     *turn = [this, interval, action = std::move(action), weak = std::weak_ptr(turn)] {
@@ -278,7 +281,7 @@
         return;
     }
     if (node.frozen) {
-        node.deferredActions.push_back(action); // Waits in the socket.
+        node.deferredActions.push_back(action); // A frozen process leaves packets in its socket buffer.
         return;
     }
     action();
@@ -305,7 +308,7 @@
     return one == other ? IntraDataCentreDelay : m_options.deployment.interDataCentreDelay;
 }
 
-// Loses, repeats and delays a packet as the options say.
+// Sends one packet, subject to the configured loss, duplication and extra delay.
 template<SlotPolicy Policy>
 template<typename Deliver>
 void Simulation<Policy>::transmit(Duration delay, bool mayDuplicate, Deliver deliver)
@@ -357,20 +360,20 @@
     }
 }
 
-// Any balancer may get any packet.
+// The fabric sends each packet to a random balancer among those in its pool, whatever flow it belongs to.
 template<SlotPolicy Policy>
 void Simulation<Policy>::sendToAnyBalancer(std::function<void(BalancerNode &)> deliver)
 {
-    std::vector<BalancerNode *> open;
+    std::vector<BalancerNode *> pool;
     for (BalancerNode &node : m_balancers) {
         if (node.inFabric) {
-            open.push_back(&node);
+            pool.push_back(&node);
         }
     }
-    if (open.empty()) {
+    if (pool.empty()) {
         return;
     }
-    BalancerNode &node = *open[drawIndex(m_random, open.size())];
+    BalancerNode &node = *pool[drawIndex(m_random, pool.size())];
     runOnBalancer(node, [&node, deliver = std::move(deliver)] {
         deliver(node);
     });
@@ -458,7 +461,7 @@
 {
     m_result.lateWork += isLate(target) ? 1 : 0;
     const std::uint64_t tag = unpackTag(request.body);
-    // The tag's lowest byte names the service that the caller asked.
+    // The tag's lowest byte is the id of the service that the caller addressed.
     m_result.crossDeliveries += (tag & 0xffU) != value(target.service->id) ? 1 : 0;
     if (target.draining || target.running.size() >= target.service->slots) {
         return sendFromTarget(target, from.endpoint, RunRefused{request.attempt});
@@ -495,7 +498,7 @@
     }
 }
 
-// A target answers to where the packet came from.
+// Targets answer to the source address of a packet.
 template<SlotPolicy Policy>
 void Simulation<Policy>::sendFromTarget(TargetNode &target, Endpoint balancer, const Message &message)
 {
--- a/bench/simulation.h
+++ b/bench/simulation.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Simulation: balancers in virtual time behind a fake fabric, with fake targets and callers.
+// Discrete-event simulation of balancers behind a modelled network fabric, with modelled targets and callers.
 //
-// Small on purpose: one queue of events, one seeded generator, and the library's own interfaces. The
-// benchmark and the tests share it; it decides nothing that the product decides.
+// One event queue and one seeded generator drive the product's own BalancerCore and CallerSession, so that a run
+// is reproducible and no balancing decision is implemented a second time. Shared by the benchmark and the tests.
 #pragma once
 
 #include "balancer_core.h"
@@ -25,87 +25,87 @@
     std::uint16_t slots = 0;
     Duration serviceTime{}; // Mean; exponentially distributed.
     int parts = 1;
-    bool repeatable = false; // Its requests may be repeated.
+    bool repeatable = false; // Its requests are idempotent.
 };
 
 struct SimulatedDeployment {
     int balancers = 8;
     int dataCentres = 3;
-    Duration interDataCentreDelay = std::chrono::milliseconds(1);
-    Duration callerDelay = std::chrono::milliseconds(3);
+    Duration interDataCentreDelay = std::chrono::milliseconds(1); // One way.
+    Duration callerDelay = std::chrono::milliseconds(3); // One way, between callers and balancers.
     std::vector<SimulatedService> services;
 };
 
-// The users' two deployments; service times are our assumption, as the brief gives none.
+// The two reference deployments. Their service times are assumptions, as the requirements state none.
 SimulatedDeployment kathmandu();
 SimulatedDeployment bogota();
 
 enum class FaultKind : std::uint8_t {
-    StopBalancer, // Planned.
+    StopBalancer, // Planned, with handover of flows.
     KillBalancer,
-    StartBalancer, // A new run of the same balancer.
-    FreezeBalancer,
+    StartBalancer, // Restarts it with a new incarnation.
+    FreezeBalancer, // Its packets are queued until UnfreezeBalancer.
     UnfreezeBalancer,
     DrainTarget,
     KillTarget,
     StartTarget,
-    SilenceTarget, // Announces itself and answers nothing.
-    IsolateDataCentre, // From all others; what is inside still talks.
+    SilenceTarget, // Keeps announcing itself but answers no message.
+    IsolateDataCentre, // From all others; nodes inside still reach each other.
     ReconnectDataCentre,
 };
 
 struct Fault {
     Duration at{};
     FaultKind kind = FaultKind::StopBalancer;
-    int index = 0; // Balancer or data centre number from 1, or target number from 1.
+    int index = 0; // Number of the balancer, target or data centre, counted from 1.
 };
 
 struct SimulationOptions {
     SimulatedDeployment deployment;
     std::uint64_t seed = 1;
-    double load = 0.5; // Of all slots.
-    int callers = 60; // Flows of requests, for each service.
-    int feeds = 40; // On the first service.
+    double load = 0.5; // Offered work as a fraction of the capacity of all slots.
+    int callers = 60; // Request flows per service.
+    int feeds = 40; // Feed flows, all on the first service.
     Duration warmUp = std::chrono::seconds(6);
     Duration duration = std::chrono::seconds(30); // After the warm-up.
     Duration deadline = std::chrono::seconds(2);
-    double drop = 0; // Of packets on every leg.
-    double duplicate = 0; // On legs into balancers and to callers.
-    double delayed = 0; // Delayed by up to MaxExtraDelay.
+    double drop = 0; // Loss probability of a packet on every hop.
+    double duplicate = 0; // Probability, on hops into balancers and to callers.
+    double delayed = 0; // Probability of an extra delay of up to MaxExtraDelay.
     Duration linger = std::chrono::seconds(4);
-    std::vector<Fault> faults; // Times after the warm-up.
+    std::vector<Fault> faults; // Times count from the end of the warm-up.
 };
 
-// Schedules that benchmark and tests share.
+// Fault schedules shared by the benchmark and the tests.
 void restartBalancersInTurn(SimulationOptions &options);
 void replaceTargetsInTurn(SimulationOptions &options);
-void dropDuplicateAndDelay(SimulationOptions &options); // A tenth of the packets each.
+void dropDuplicateAndDelay(SimulationOptions &options); // Each with a probability of 10%.
 void combineAllFaults(SimulationOptions &options);
 
 struct SimulationResult {
     std::uint64_t sent = 0;
     std::array<std::uint64_t, 4> outcomes{}; // By Outcome.
-    std::uint64_t unanswered = 0;
+    std::uint64_t unanswered = 0; // Requests that timed out at the caller.
     std::uint64_t brokenFlows = 0;
-    std::uint64_t runTwice = 0;
-    std::uint64_t falseNotRun = 0;
-    std::uint64_t wrongAnswers = 0;
-    std::uint64_t crossDeliveries = 0;
-    std::uint64_t lateWork = 0; // Attempts and attachments at a draining target after 3 s.
+    std::uint64_t runTwice = 0; // Non-idempotent requests executed more than once.
+    std::uint64_t falseNotRun = 0; // Executed requests that were reported as not run.
+    std::uint64_t wrongAnswers = 0; // Incomplete, or with parts of another request's answer.
+    std::uint64_t crossDeliveries = 0; // Requests that reached a target of another service.
+    std::uint64_t lateWork = 0; // Attempts and new attachments that reach a target over 3 s after it began to drain.
     std::uint64_t feedItems = 0;
     Duration longestStall{};
     std::uint64_t retries = 0;
     std::uint64_t refusedAttempts = 0;
     std::uint64_t offloaded = 0;
-    std::uint64_t stoppedBalancers = 0; // Planned stops that came to their end.
-    double imbalance = 1; // Highest over services of max/mean busy time of targets.
-    double occupancyP99 = 0; // Of running/slots over targets and samples.
-    double goodput = 0; // Answered slot time over the slot time that there was.
+    std::uint64_t stoppedBalancers = 0; // Planned stops that completed.
+    double imbalance = 1; // Max/mean busy time of a service's targets; the highest of all services.
+    double occupancyP99 = 0; // Of running/slots, over all targets and samples.
+    double goodput = 0; // Slot time of answered requests over the slot time available.
     Duration p50{};
     Duration p99{};
-    double controlBytesPerSecond = 0; // Of the balancer with the most.
+    double controlBytesPerSecond = 0; // Of the balancer that sends the most.
 
-    // Everything deterministic, mixed into one number.
+    // Hash of the counts and of the latency quantiles; equal runs have equal signatures.
     std::uint64_t signature() const;
 };
 
@@ -118,7 +118,7 @@
     explicit Simulation(const SimulationOptions &options);
     SimulationResult run();
 
-    // For tests that look inside or bring about something of their own.
+    // For tests that inspect a balancer or schedule events of their own.
     BalancerCore<Policy> &balancer(int number);
     TimePoint now() const;
     void at(TimePoint time, std::function<void()> action);
@@ -162,7 +162,7 @@
         const SimulatedService *service = nullptr;
         bool feed = false;
         std::unique_ptr<CallerSession> session;
-        std::map<RequestId, std::uint64_t> openRequests; // Tag of each open request.
+        std::map<RequestId, std::uint64_t> openRequests; // Tags.
         Duration longestStall{};
         bool wrongItem = false;
     };
@@ -225,17 +225,17 @@
     std::vector<BalancerNode> m_balancers;
     std::vector<TargetNode> m_targets;
     std::vector<CallerNode> m_callers;
-    std::map<std::uint16_t, std::vector<CallerNode *>> m_requestCallers; // Callers of requests by service.
+    std::map<std::uint16_t, std::vector<CallerNode *>> m_requestCallers; // By service; callers with a feed send no requests.
     std::set<int> m_isolatedDataCentres;
     std::map<std::uint64_t, RequestTally> m_requestTallies;
     std::uint64_t m_lastTag = 0;
     Duration m_answeredWork{};
-    std::vector<std::uint64_t> m_occupancy; // Samples by tenth of a host's slots.
+    std::vector<std::uint64_t> m_occupancy; // Histogram of running/slots of a target.
     LatencyHistogram m_latency;
     SimulationResult m_result;
 };
 
-// The same arrivals at one central queue that knows everything: what no real balancer can beat.
+// Upper bound for any balancer: the same load at one central queue in front of all slots.
 struct CentralQueueResult {
     double goodput = 0;
     Duration p50{};
@@ -243,7 +243,7 @@
 };
 CentralQueueResult simulateCentralQueue(const SimulatedService &service, double load, Duration duration, Duration maxWait, std::uint64_t seed);
 
-// The baselines: no connection ids, no owner, no counts; each packet picks a target by itself.
+// Stateless baselines: each packet picks its target by itself, without connection ids, flow owners or slot counts.
 enum class BaselineKind : std::uint8_t {
     PlainHash,
     RoundRobin,
@@ -253,7 +253,7 @@
     double goodput = 0;
     double imbalance = 1;
     std::uint64_t refused = 0;
-    std::uint64_t brokenFlows = 0; // Of `feeds`, when one target leaves.
+    std::uint64_t brokenFlows = 0; // Of `feeds`, when one target is removed.
 };
 BaselineResult simulateBaseline(BaselineKind kind, const SimulatedService &service, double load, Duration duration, int feeds, std::uint64_t seed);
 
