--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Fleet: prints what replicas say to each other and what it costs them, by the fleet model.
+// Prints the traffic that replicas send to each other and to balancers, and its processing time, as measured in the fleet model.
 // Usage: robinrail-fleet DATA-CENTRES REPLICAS-EACH BALANCERS-EACH TARGETS-EACH
 #include "fleet_model.h"
 #include "log.h"
--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -15,27 +15,28 @@
 constexpr Duration TickPeriod = std::chrono::milliseconds(25);
 constexpr Duration HeartbeatPeriod = std::chrono::milliseconds(500);
 
-// One way, between machines of one data centre and of two.
+// One-way delays between machines of the same data centre and of different ones.
 constexpr Duration IntraDataCentreDelay = std::chrono::microseconds(300);
 constexpr Duration InterDataCentreDelay = std::chrono::microseconds(1700);
 
-// Replicas start within this of each other, and links come up as long after.
+// Replicas start at random times within this span; links come up within the next one, balancers follow within the third.
 constexpr Duration StartSpread = std::chrono::milliseconds(100);
 
 constexpr LossTolerance ToleratedLoss{2, 1};
 
-Duration fraction(Duration whole, std::uint64_t hash)
+// A pseudorandom duration below `whole`, from a hash.
+Duration pseudorandomBelow(Duration whole, std::uint64_t hash)
 {
     return Duration(static_cast<std::int64_t>(hash % static_cast<std::uint64_t>(whole.count())));
 }
 
 } // namespace
 
-// A replica's links: to the others, one dialled by each of a pair, and to balancers that only take.
+// A replica's links. Each replica of a pair dials one link to the other; links to balancers carry messages to them only.
 struct FleetModel::Links {
     struct Link {
         ReplicaPlace peer;
-        ReplicaLinkId peerLink = 0; // The same link as its other end calls it; 0 for a balancer's.
+        ReplicaLinkId peerLink = 0; // Handle of the same link at the peer; 0 for a balancer.
         bool dialled = false;
     };
 
@@ -96,7 +97,7 @@
     DataCentreId dataCentre{};
     std::uint32_t address = 0;
     std::uint64_t sequence = 0;
-    std::uint64_t generation = 0; // Lifetimes that began in its place.
+    std::uint64_t generation = 0; // Lifetimes that began earlier under the same key.
     TargetPhase phase = TargetPhase::Serving;
     bool ended = false;
 };
@@ -173,7 +174,7 @@
 {
     startReplicas(std::vector<std::vector<TargetStatus>>(m_replicas.size()));
     for (std::size_t i = 0; i < m_targets.size(); ++i) {
-        at(m_now + StartSpread + fraction(AnnounceInterval, hashPair(m_seed + 1, i)), [this, i] {
+        at(m_now + StartSpread + pseudorandomBelow(AnnounceInterval, hashPair(m_seed + 1, i)), [this, i] {
             announce(i, 0);
         });
     }
@@ -195,11 +196,11 @@
     startReplicas(std::move(known));
 }
 
-// Replicas first, then links between all of them, then the balancers of each data centre at its replicas in turn.
+// Starts the replicas, then links between all of them, then attaches each balancer to a pseudorandom replica of its data centre.
 void FleetModel::startReplicas(std::vector<std::vector<TargetStatus>> known)
 {
     for (std::size_t i = 0; i < m_replicas.size(); ++i) {
-        const Duration startOffset = fraction(StartSpread, hashPair(m_seed + 2, m_boot << 32U | i));
+        const Duration startOffset = pseudorandomBelow(StartSpread, hashPair(m_seed + 2, m_boot << 32U | i));
         at(m_now + startOffset, [this, i, boot = m_boot, known = std::move(known[i])] {
             Replica &replica = *m_replicas[i];
             replica.links.model = this;
@@ -213,7 +214,7 @@
     }
     for (std::size_t one = 0; one < m_replicas.size(); ++one) {
         for (std::size_t other = 0; other < m_replicas.size(); ++other) {
-            const Duration startOffset = fraction(StartSpread, hashPair(one, other << 32U | m_boot));
+            const Duration startOffset = pseudorandomBelow(StartSpread, hashPair(one, other << 32U | m_boot));
             if (one != other) {
                 at(m_now + StartSpread + startOffset, [this, one, other] {
                     connectReplicas(one, other);
@@ -224,7 +225,7 @@
     for (std::size_t i = 0; i < m_shape.dataCentres * m_shape.balancersEach; ++i) {
         const DataCentreId dataCentre = DataCentreId(1 + i % m_shape.dataCentres);
         const std::size_t replicaIndex = i % m_shape.dataCentres + m_shape.dataCentres * (hashPair(m_seed + 3, i) % m_shape.replicasEach);
-        at(m_now + 2 * StartSpread + fraction(StartSpread, hashPair(m_seed + 4, i)), [this, dataCentre, replicaIndex] {
+        at(m_now + 2 * StartSpread + pseudorandomBelow(StartSpread, hashPair(m_seed + 4, i)), [this, dataCentre, replicaIndex] {
             Replica &replica = *m_replicas[replicaIndex];
             replica.links.links[++m_lastLink] = {{ReplicaId{0}, dataCentre}, 0, false};
             measureWork(replica, [&] {
@@ -255,7 +256,7 @@
     Replica &replica = *m_replicas[to];
     const auto at = replica.links.links.find(link);
     if (at == replica.links.links.end()) {
-        return; // Lost with the link.
+        return; // The link closed while the message was in flight.
     }
     const ReplicaPlace peer = at->second.peer;
     measureWork(replica, [&] {
@@ -372,7 +373,7 @@
     });
 }
 
-// ---- Figures ----
+// ---- Metrics ----
 
 FleetMetrics FleetModel::takeMetrics()
 {
--- a/bench/fleet_model.h
+++ b/bench/fleet_model.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Fleet model: replicas with the product's own target exchange, in virtual time on modelled links, with as many data
-// centres, balancers and targets as wanted. Tells what replicas say to each other and to balancers, and what that costs.
+// Fleet model: replicas that run the product's own target exchange over modelled links in virtual time, with any number of
+// data centres, balancers and targets. Measures the traffic among replicas and to balancers, and its processing time.
 #pragma once
 
 #include "link_traffic.h"
@@ -25,14 +25,14 @@
     }
 };
 
-// What passed since the last figures were taken: of a replica, in the mean.
+// Traffic and processing time since the last call of takeMetrics(), as the mean over replicas.
 struct FleetMetrics {
     double replicaBytes = 0; // Sent to other replicas.
-    double replicaMessages = 0;
+    double replicaMessages = 0; // Sent to other replicas.
     double balancerBytes = 0; // Sent to balancers.
     double crossDataCentreBytes = 0; // Sent to other data centres.
-    double processorSeconds = 0; // On this machine; the exchange and the codec alone.
-    double maxProcessorSeconds = 0; // Of the replica that took most.
+    double processorSeconds = 0; // On this machine, by a monotonic clock; only the exchange and the codec.
+    double maxProcessorSeconds = 0; // Of the replica with the most.
 };
 
 class FleetModel
@@ -41,24 +41,24 @@
     FleetModel(const FleetShape &shape, std::uint64_t seed);
     ~FleetModel();
 
-    // All replicas come up, and links with them; targets announce themselves from now on.
+    // Starts all replicas, connects them, and lets targets announce themselves from then on.
     void start();
 
     void run(Duration duration);
 
-    // So many targets of each data centre drain, one after the other within this time, and end `endDelay` later.
+    // Drains `targetsEach` targets of each data centre, spread evenly over `within`; each ends `endDelay` after it began to drain.
     void drain(std::size_t targetsEach, Duration within, Duration endDelay);
 
-    // All replicas lose their processes and start again after a pause with what was known, but those of `emptied`, which
-    // lose their disks as well.
+    // Kills all replica processes and starts them again after a pause with the targets that they knew. Those in
+    // `wipedReplicas`, by index from 0, lose their disks as well and start without any.
     void restartAll(Duration pause, const std::vector<std::size_t> &wipedReplicas = {});
 
     FleetMetrics takeMetrics();
 
-    // Whether all replicas hold the same targets in the same phases.
+    // Whether the directories of all replicas have equal digests: the same targets in the same phases.
     bool inSync() const;
 
-    // The longest time from a target's first word that it drains to the answer; drains that got none.
+    // The longest time from a target's announcement that it drains to the answer, and the number of drains without an answer.
     Duration longestDrainAnswer() const;
     std::size_t drainsUnanswered() const;
 
@@ -94,7 +94,7 @@
     std::uint64_t m_seed;
     TimePoint m_now;
     std::uint64_t m_order = 0;
-    std::uint64_t m_boot = 0; // Rises with each start of all.
+    std::uint64_t m_boot = 0; // Counts restarts of all replicas; periodic ticks of an earlier one end.
     ReplicaLinkId m_lastLink = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
     std::vector<std::unique_ptr<Replica>> m_replicas;
