--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Slopes: state, message size and processor time per target, peer, flow, service and version, each at
-// four sizes with a least-squares line and its largest error. docs/CAPACITY.md extrapolates from these.
+// Scaling measurement: memory, message size and processing time as a function of the number of targets, peers, flows,
+// services and versions, each at four sizes with a least-squares line and its largest error. docs/CAPACITY.md
+// extrapolates from these lines.
 #include "balancer_core.h"
 #include "bundle.h"
 #include "control_state.h"
@@ -28,7 +29,7 @@
     double cost = 0;
 };
 
-// cost = base + slope * size, with the largest deviation of a point relative to the largest cost.
+// cost = intercept + slope * size. The error is the largest deviation of a point, relative to the largest cost.
 struct Line {
     double intercept = 0;
     double slope = 0;
@@ -64,7 +65,7 @@
     return mallinfo2().uordblks + mallinfo2().hblkhd;
 }
 
-// Microseconds of one call: the least of several batches, which is what noise disturbs least.
+// Microseconds per call: the minimum over several batches, as other load on the machine only adds time.
 double minMicrosecondsPerCall(const std::function<void()> &action, int calls)
 {
     constexpr int Batches = 7;
