--- a/src/standin.h
+++ b/src/standin.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Stand-ins: small programs in place of targets, callers and the platform's fabric, for demonstration.
+// Stand-ins: small programs that replace targets, callers and the platform's network fabric in demonstrations and tests.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,34 +9,34 @@
 
 namespace Robinrail {
 
-// A target: announces itself, runs requests in its slots and pushes feeds.
+// A target that announces itself, runs requests in its slots and pushes feed items.
 struct StandinTargetOptions {
     std::uint32_t id = 0;
     std::uint16_t service = 0;
     std::uint8_t dataCentre = 0;
     std::string listen;
-    std::string announceTo; // The fabric's address for targets.
+    std::string announceTo; // Address of the fabric for announcements.
     std::uint16_t slots = 3;
     std::uint16_t connections = 2000;
-    int serviceMs = 40; // Mean time of one request.
-    int parts = 1; // Of each answer.
-    int feedMs = 100; // Between two feed items.
-    std::string report; // File for the totals at the end.
+    int serviceMs = 40; // Mean service time, exponentially distributed.
+    int parts = 1; // Parts of each answer.
+    int feedMs = 100; // Interval between items of a feed.
+    std::string report; // File that receives the totals on exit; none if empty.
 };
 
-// Callers: each holds a feed and asks for bookings and documents.
+// Callers: some hold a feed, the others send requests to both services.
 struct StandinCallerOptions {
-    std::string rateDesk; // The fabric's address of the first service.
-    std::string docVault; // And of the second.
+    std::string rateDesk; // Address of the fabric for the first service.
+    std::string docVault; // Address of the fabric for the second service.
     int feeds = 20;
-    int clients = 20; // Callers of requests, each on both services.
+    int clients = 20; // Callers that send requests, each with a flow to both services.
     int seconds = 10;
-    int thinkMs = 150; // Mean pause between two requests of one caller.
+    int thinkMs = 150; // Mean pause between two requests of one flow.
     std::uint32_t seed = 1;
     std::string report;
 };
 
-// One address of the fabric and the balancers' addresses behind it.
+// An address of the fabric and the balancers to which it forwards.
 struct StandinRoute {
     std::string listen;
     std::vector<std::string> balancers;
@@ -45,8 +45,8 @@
 struct StandinFabricOptions {
     std::vector<StandinRoute> routes;
     std::uint32_t seed = 1;
-    double duplicate = 0; // Part of the packets that arrive twice.
-    double drop = 0; // Part of the packets that are lost.
+    double duplicate = 0; // Probability that a packet arrives twice.
+    double drop = 0; // Probability that a packet is lost.
 };
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(
@@ -55,7 +55,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(StandinRoute, listen, balancers)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(StandinFabricOptions, routes, seed, duplicate, drop)
 
-// Each runs until SIGTERM, or until its time is over, and answers an exit code.
+// Each runs until SIGTERM or SIGINT, the callers also until their `seconds` are over, and returns the exit code.
 int runStandinTarget(const StandinTargetOptions &options);
 int runStandinCaller(const StandinCallerOptions &options);
 int runStandinFabric(const StandinFabricOptions &options);
--- a/src/standin_caller.cpp
+++ b/src/standin_caller.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Stand-in callers: agents with feeds, and clients that book and fetch documents, each on its own address.
+// Stand-in callers: some with a feed, the others with requests to both services, each on its own loopback address.
 #include "caller_session.h"
 #include "metrics.h"
 #include "settings.h"
@@ -22,10 +22,10 @@
 constexpr Duration RequestDeadline = std::chrono::seconds(2);
 constexpr std::uint32_t CallerNetwork = 0x7f020000; // 127.2.0.0
 
-// A feed that got nothing for this long is broken, whatever came later.
+// A feed that delivered nothing for this long is counted as broken, even if it recovers later.
 constexpr Duration BrokenFeedTimeout = std::chrono::seconds(8);
 
-// One flow with its socket.
+// A flow with its session and socket.
 struct CallerFlow {
     std::uint32_t caller = 0;
     bool feed = false;
@@ -111,7 +111,7 @@
         });
     }
 
-    // One request at a time, then a pause; a refusal's retry-after is obeyed.
+    // Closed loop: one open request per flow, then a think time, at least the retry-after of a refusal.
     void sendRequest(TimePoint now, CallerFlow &flow)
     {
         if (flow.feed || !flow.session->opened() || flow.session->pending() > 0 || now < flow.nextRequest) {
@@ -147,12 +147,12 @@
     {
         boost::random::exponential_distribution<double> think(1.0 / m_options.thinkMs);
         flow.nextRequest = now + std::max(result.retryAfter, Duration(std::chrono::milliseconds(static_cast<int>(think(m_random)))));
-        const StandinBody openRequests = flow.openRequests.at(result.request);
+        const StandinBody sentBody = flow.openRequests.at(result.request);
         flow.openRequests.erase(result.request);
         ++m_outcomes[static_cast<std::size_t>(result.outcome)];
         m_timedOut += result.timedOut ? 1 : 0;
         if (result.outcome == Outcome::NotRun) {
-            m_notRun.push_back(requestTag(openRequests) + (openRequests.repeatable ? "r" : ""));
+            m_notRun.push_back(requestTag(sentBody) + (sentBody.repeatable ? "r" : ""));
         }
         if (result.outcome != Outcome::Answered) {
             return;
@@ -160,7 +160,7 @@
         m_latency.record(result.took);
         for (std::size_t index = 0; index < result.parts.size(); ++index) {
             const std::optional<StandinBody> part = decodeBody(result.parts[index]);
-            const bool own = part && part->caller == openRequests.caller && part->number == openRequests.number && part->part == index;
+            const bool own = part && part->caller == sentBody.caller && part->number == sentBody.number && part->part == index;
             m_wrongAnswers += own ? 0 : 1;
         }
     }
--- a/src/standin_common.h
+++ b/src/standin_common.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Stand-in common: what the stand-ins share: bodies, reports and a UDP socket with callbacks.
+// Shared by the stand-ins: request bodies, report files and an asynchronous UDP socket.
 #pragma once
 
 #include "codec.h"
@@ -14,8 +14,8 @@
 
 namespace Robinrail {
 
-// The body of a stand-in's request, and of each part of its answer. It names one request of one caller,
-// so that reports can be compared.
+// Body of a request and of each part of its answer. It identifies the request, so that the reports of targets and callers
+// can be compared.
 struct StandinBody {
     std::uint32_t caller = 0;
     std::uint32_t number = 0;
@@ -39,7 +39,7 @@
     return body ? std::optional(std::get<StandinBody>(*body)) : std::nullopt;
 }
 
-// A name for one request in reports.
+// Identifies a request in reports, as "caller/number".
 inline std::string requestTag(const StandinBody &body)
 {
     return std::to_string(body.caller) + "/" + std::to_string(body.number);
@@ -52,7 +52,7 @@
     }
 }
 
-// A UDP socket that hands every datagram to a callback.
+// A UDP socket that passes every received datagram to a callback.
 class DatagramSocket
 {
 public:
@@ -67,7 +67,7 @@
         m_socket.set_option(boost::asio::socket_base::receive_buffer_size(Buffer));
         m_socket.bind(toUdp(local));
         m_socket.non_blocking(true);
-        wait();
+        waitReadable();
     }
 
     void send(Endpoint to, BytesView bytes)
@@ -82,18 +82,18 @@
     }
 
 private:
-    void wait()
+    void waitReadable()
     {
         m_socket.async_wait(boost::asio::ip::udp::socket::wait_read, [this](const boost::system::error_code &error) {
             if (error) {
                 return;
             }
-            drain();
-            wait();
+            receivePending();
+            waitReadable();
         });
     }
 
-    void drain()
+    void receivePending()
     {
         std::array<std::uint8_t, 2048> buffer{};
         for (;;) {
--- a/src/standin_fabric.cpp
+++ b/src/standin_fabric.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Stand-in fabric: hands every packet that comes to one of its addresses to a random balancer.
+// Stand-in fabric: forwards every packet that arrives at one of its addresses to a random balancer.
 //
-// A real fabric keeps the caller's address. Without privileges this one can't, so it has one socket for
-// each caller: balancers answer to that socket, and the fabric passes the answer on.
+// A real fabric keeps the source address of a packet. An unprivileged process can't, so this one opens a socket for each
+// caller: balancers answer to that socket, and the fabric forwards the answer to the caller.
 #include "settings.h"
 #include "standin.h"
 #include "standin_common.h"
@@ -53,7 +53,7 @@
     {
         std::unique_ptr<DatagramSocket> &socket = m_callers[caller];
         if (!socket) {
-            // The caller's own address with any port, so that balancers tell callers apart.
+            // The caller's own address with an ephemeral port, so that balancers can tell callers apart.
             socket = std::make_unique<DatagramSocket>(m_io, Endpoint{caller.address, 0}, [this, caller](Endpoint, BytesView bytes) {
                 m_socket.send(caller, bytes);
             });
--- a/src/standin_target.cpp
+++ b/src/standin_target.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Stand-in target: an ordinary server of requests and feeds. SIGUSR1 makes it drain, SIGTERM ends it.
+// Stand-in target: a server of requests and feeds. SIGUSR1 starts its drain; SIGTERM or SIGINT writes the report and ends it.
 #include "settings.h"
 #include "standin.h"
 #include "standin_common.h"
@@ -19,7 +19,7 @@
 
 constexpr std::chrono::seconds AnnounceInterval{1};
 
-// New work that comes later than this after the first draining announcement is counted as late.
+// New work that arrives later than this after the first draining announcement is counted as late.
 constexpr Duration DrainGrace = std::chrono::seconds(3);
 
 class StandinTarget
--- a/src/standin_verify.cpp
+++ b/src/standin_verify.cpp
@@ -22,7 +22,7 @@
     return file ? Json::parse(file, nullptr, false) : Json(nullptr);
 }
 
-// What the targets saw, all together.
+// Totals over the reports of all targets.
 struct TargetTotals {
     std::map<std::string, int> executions;
     std::map<int, std::vector<double>> busyByService;
@@ -48,6 +48,7 @@
     return totals;
 }
 
+// Max/mean busy time.
 double imbalance(const std::vector<double> &busy)
 {
     double sum = 0;
@@ -68,6 +69,7 @@
         std::cout << "reports missing: " << totals.missing + (callers.is_object() ? 0 : 1) << '\n';
         return 1;
     }
+    // Tags that end in "r" belong to repeatable requests, which may run more than once.
     const auto runTwice = std::count_if(totals.executions.begin(), totals.executions.end(), [](const auto &entry) {
         return entry.second > 1 && !entry.first.ends_with('r');
     });
@@ -88,7 +90,7 @@
         {"broken flows", callers["broken"].get<std::uint64_t>()},
         {"requests run twice", static_cast<std::uint64_t>(runTwice)},
         {"false \"not run\"", falseNotRun},
-        {"half or foreign answers", callers["wrongAnswers"].get<std::uint64_t>()},
+        {"incomplete or wrong answers", callers["wrongAnswers"].get<std::uint64_t>()},
         {"work at a leaving target after 3 s", totals.lateWork},
     };
     std::uint64_t sum = 0;
--- a/src/standin_verify.h
+++ b/src/standin_verify.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Stand-in verification: compares the reports of targets and callers and prints what must hold.
+// Checks the reports of stand-in targets and callers against each other.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,13 +12,13 @@
 struct StandinVerifyOptions {
     std::vector<std::string> targets; // Report files.
     std::string callers; // Report file.
-    double rolloutSeconds = 0; // Measured by the script; only printed.
-    double firstRolloutSeconds = 0;
+    double rolloutSeconds = 0; // Measured by the calling script; only printed.
+    double firstRolloutSeconds = 0; // Likewise.
 };
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(StandinVerifyOptions, targets, callers, rolloutSeconds, firstRolloutSeconds)
 
-// Prints one line for each figure; 0 if all that must be 0 is 0, otherwise 1.
+// Prints one line per figure. Returns 0 if no invariant was violated and some request was answered, otherwise 1.
 int verifyReports(const StandinVerifyOptions &options);
 
 } // namespace Robinrail
