--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -145,9 +145,9 @@
 
 FleetModel::~FleetModel() = default;
 
-void FleetModel::at(TimePoint time, std::function<void()> run)
+void FleetModel::at(TimePoint time, std::function<void()> action)
 {
-    m_events.push({time, ++m_order, std::move(run)});
+    m_events.push({time, ++m_lastOrder, std::move(action)});
 }
 
 void FleetModel::run(Duration duration)
@@ -157,7 +157,7 @@
         const Event event = m_events.top();
         m_events.pop();
         m_now = event.at;
-        event.run();
+        event.action();
     }
     m_now = end;
 }
--- a/bench/fleet_model.h
+++ b/bench/fleet_model.h
@@ -68,8 +68,8 @@
     struct Target;
     struct Event {
         TimePoint at;
-        std::uint64_t order = 0;
-        std::function<void()> run;
+        std::uint64_t order = 0; // Of insertion, for events at the same time.
+        std::function<void()> action;
 
         bool operator>(const Event &other) const
         {
@@ -77,7 +77,7 @@
         }
     };
 
-    void at(TimePoint time, std::function<void()> run);
+    void at(TimePoint time, std::function<void()> action);
     void startReplicas(std::vector<std::vector<TargetStatus>> known);
     void connectReplicas(std::size_t dialler, std::size_t acceptor);
     void deliver(std::size_t from, ReplicaLinkId link, const Bytes &message);
@@ -93,7 +93,7 @@
     FleetShape m_shape;
     std::uint64_t m_seed;
     TimePoint m_now;
-    std::uint64_t m_order = 0;
+    std::uint64_t m_lastOrder = 0;
     std::uint64_t m_boot = 0; // Counts restarts of all replicas; periodic ticks of an earlier one end.
     ReplicaLinkId m_lastLink = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
--- a/bench/simulation.cpp
+++ b/bench/simulation.cpp
@@ -173,7 +173,7 @@
 template<SlotPolicy Policy>
 void Simulation<Policy>::at(TimePoint time, std::function<void()> action)
 {
-    m_events.push({time, ++m_order, std::move(action)});
+    m_events.push({time, ++m_lastOrder, std::move(action)});
 }
 
 template<SlotPolicy Policy>
@@ -224,7 +224,7 @@
 void Simulation<Policy>::startBalancer(BalancerNode &node)
 {
     BalancerSettings settings;
-    settings.self = {node.id, Incarnation{FirstIncarnation + ++node.run}};
+    settings.self = {node.id, Incarnation{FirstIncarnation + ++node.startCount}};
     settings.dataCentre = DataCentreId{static_cast<std::uint8_t>(node.dataCentre)};
     settings.connectionIdKeys = {{1, {1, 2, 3}}};
     for (const BalancerNode &peer : m_balancers) {
@@ -240,30 +240,30 @@
         services.push_back(entry);
     }
     node.core->applyBundle(m_now, 1, services);
-    const std::uint64_t run = node.run;
-    every(TickInterval, [this, &node, run] {
-        tickBalancer(node, run);
-        return node.alive && node.run == run;
+    const std::uint64_t startCount = node.startCount;
+    every(TickInterval, [this, &node, startCount] {
+        tickBalancer(node, startCount);
+        return node.alive && node.startCount == startCount;
     });
-    every(FabricCheckInterval, [this, &node, run] {
-        if (node.run != run) {
+    every(FabricCheckInterval, [this, &node, startCount] {
+        if (node.startCount != startCount) {
             return false;
         }
         if (node.alive) {
             node.inFabric = node.core->ready();
             return true;
         }
-        after(FabricFailureDetection, [&node, run] {
-            node.inFabric = node.inFabric && node.run != run;
+        after(FabricFailureDetection, [&node, startCount] {
+            node.inFabric = node.inFabric && node.startCount != startCount;
         });
         return false;
     });
 }
 
 template<SlotPolicy Policy>
-void Simulation<Policy>::tickBalancer(BalancerNode &node, std::uint64_t run)
+void Simulation<Policy>::tickBalancer(BalancerNode &node, std::uint64_t startCount)
 {
-    if (!node.alive || node.frozen || node.run != run) {
+    if (!node.alive || node.frozen || node.startCount != startCount) {
         return;
     }
     node.core->tick(m_now);
@@ -384,24 +384,24 @@
 template<SlotPolicy Policy>
 void Simulation<Policy>::startTarget(TargetNode &target)
 {
-    ++target.run;
+    ++target.startCount;
     target.alive = true;
     target.silent = false;
     target.draining = false;
     target.sequence = 0;
     target.running.clear();
     target.feeds.clear();
-    const std::uint64_t run = target.run;
-    every(AnnounceInterval, [this, &target, run] {
-        announce(target, run);
-        return target.alive && target.run == run;
+    const std::uint64_t startCount = target.startCount;
+    every(AnnounceInterval, [this, &target, startCount] {
+        announce(target, startCount);
+        return target.alive && target.startCount == startCount;
     });
 }
 
 template<SlotPolicy Policy>
-void Simulation<Policy>::announce(TargetNode &target, std::uint64_t run)
+void Simulation<Policy>::announce(TargetNode &target, std::uint64_t startCount)
 {
-    if (!target.alive || target.run != run) {
+    if (!target.alive || target.startCount != startCount) {
         return;
     }
     Announcement announcement;
@@ -409,7 +409,7 @@
     announcement.service = target.service->id;
     announcement.dataCentre = DataCentreId{static_cast<std::uint8_t>(target.dataCentre)};
     announcement.endpoint = target.endpoint;
-    announcement.incarnation = Incarnation{FirstIncarnation + run};
+    announcement.incarnation = Incarnation{FirstIncarnation + startCount};
     announcement.sequence = ++target.sequence;
     announcement.slots = target.service->slots;
     announcement.connections = 2000;
@@ -449,7 +449,7 @@
         target.feeds[attach->attachment] = {from.endpoint, attach->flow, attach->nextSequence};
         sendFromTarget(target, from.endpoint, FeedAttached{attach->attachment, attach->flow});
         if (!known) {
-            pushFeed(target, attach->attachment, target.run);
+            pushFeed(target, attach->attachment, target.startCount);
         }
     } else if (const auto *detach = std::get_if<DetachFeed>(&message)) {
         target.feeds.erase(detach->attachment);
@@ -469,8 +469,8 @@
     ++m_requestTallies[tag].executions;
     setRunning(target, request.attempt, true);
     const Duration took = exponential(target.service->serviceTime);
-    after(took, [this, &target, run = target.run, balancer = from.endpoint, request, took] {
-        if (!target.alive || target.run != run || !target.running.contains(request.attempt)) {
+    after(took, [this, &target, startCount = target.startCount, balancer = from.endpoint, request, took] {
+        if (!target.alive || target.startCount != startCount || !target.running.contains(request.attempt)) {
             return;
         }
         setRunning(target, request.attempt, false);
@@ -514,17 +514,17 @@
 }
 
 template<SlotPolicy Policy>
-void Simulation<Policy>::pushFeed(TargetNode &target, AttemptKey attachment, std::uint64_t run)
+void Simulation<Policy>::pushFeed(TargetNode &target, AttemptKey attachment, std::uint64_t startCount)
 {
     const auto at = target.feeds.find(attachment);
-    if (!target.alive || target.run != run || at == target.feeds.end()) {
+    if (!target.alive || target.startCount != startCount || at == target.feeds.end()) {
         return;
     }
     Feed &feed = at->second;
     sendFromTarget(target, feed.balancer, FeedPush{attachment, feed.flow, feed.next, packTag(feed.next)});
     ++feed.next;
-    after(FeedInterval, [this, &target, attachment, run] {
-        pushFeed(target, attachment, run);
+    after(FeedInterval, [this, &target, attachment, startCount] {
+        pushFeed(target, attachment, startCount);
     });
 }
 
@@ -640,7 +640,7 @@
     case FaultKind::DrainTarget:
         m_targets[index].draining = true;
         m_targets[index].drainedAt = m_now;
-        announce(m_targets[index], m_targets[index].run);
+        announce(m_targets[index], m_targets[index].startCount);
         break;
     case FaultKind::KillTarget:
         m_targets[index].alive = false;
--- a/bench/simulation.h
+++ b/bench/simulation.h
@@ -132,7 +132,7 @@
         bool alive = false;
         bool frozen = false;
         bool inFabric = false;
-        std::uint64_t run = 0;
+        std::uint64_t startCount = 0;
         std::uint64_t controlBytes = 0;
         std::vector<std::function<void()>> deferredActions;
     };
@@ -150,7 +150,7 @@
         bool silent = false;
         bool draining = false;
         TimePoint drainedAt;
-        std::uint64_t run = 0;
+        std::uint64_t startCount = 0;
         std::uint64_t sequence = 0;
         std::set<AttemptKey> running;
         std::map<AttemptKey, Feed> feeds;
@@ -173,7 +173,7 @@
     };
     struct Event {
         TimePoint at;
-        std::uint64_t order = 0;
+        std::uint64_t order = 0; // Of insertion, for events at the same time.
         std::function<void()> action;
 
         bool operator>(const Event &other) const
@@ -191,7 +191,7 @@
     void startBalancer(BalancerNode &node);
     void startTarget(TargetNode &node);
     void apply(const Fault &fault);
-    void tickBalancer(BalancerNode &node, std::uint64_t run);
+    void tickBalancer(BalancerNode &node, std::uint64_t startCount);
     void runOnBalancer(BalancerNode &node, const std::function<void()> &action);
     void flush(BalancerNode &node);
     void route(BalancerNode &from, const Outgoing &outgoing);
@@ -204,8 +204,8 @@
     void handleTargetMessage(TargetNode &target, BalancerNode &from, const Message &message);
     void runRequest(TargetNode &target, BalancerNode &from, const RunRequest &request);
     void sendFromTarget(TargetNode &target, Endpoint balancer, const Message &message);
-    void announce(TargetNode &target, std::uint64_t run);
-    void pushFeed(TargetNode &target, AttemptKey attachment, std::uint64_t run);
+    void announce(TargetNode &target, std::uint64_t startCount);
+    void pushFeed(TargetNode &target, AttemptKey attachment, std::uint64_t startCount);
     void setRunning(TargetNode &target, const AttemptKey &attempt, bool running);
     bool isLate(const TargetNode &target) const;
 
@@ -220,7 +220,7 @@
     TimePoint m_now;
     TimePoint m_measurementStart;
     TimePoint m_measurementEnd;
-    std::uint64_t m_order = 0;
+    std::uint64_t m_lastOrder = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
     std::vector<BalancerNode> m_balancers;
     std::vector<TargetNode> m_targets;
