--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Bench: a fixed workload in virtual time, the baselines beside it, and the hot path in real time.
+// Benchmark: a fixed workload in virtual time, baselines for comparison, and the hot path in real time.
 //
-// The last line, "Bench: N", mixes all deterministic figures into one number. It is the same on every
-// run, so a refactoring leaves it alone and a change of behaviour moves it.
+// The last line, "Bench: N", is a signature of the deterministic figures. It is the same on every run: a pure
+// refactoring keeps it, a functional change alters it.
 #include "hash.h"
 #include "simulation.h"
 #include "target_choice.h"
@@ -43,7 +43,7 @@
     SimulationResult result;
 };
 
-std::uint64_t unknown(const SimulationResult &result)
+std::uint64_t unknownOutcomes(const SimulationResult &result)
 {
     return result.outcomes[static_cast<std::size_t>(Outcome::OutcomeUnknown)];
 }
@@ -54,7 +54,7 @@
     return static_cast<double>(duration.count()) / PerMillisecond;
 }
 
-void printHead()
+void printHeader()
 {
     std::cout << std::left << std::setw(38) << "scenario" << std::right << std::setw(7) << "sent" << std::setw(7) << "answ" << std::setw(7) << "notrun"
               << std::setw(6) << "unkn" << std::setw(7) << "broken" << std::setw(6) << "twice" << std::setw(6) << "false" << std::setw(6) << "wrong"
@@ -66,11 +66,11 @@
 {
     const SimulationResult &result = row.result;
     std::cout << std::left << std::setw(38) << row.name << std::right << std::setw(7) << result.sent << std::setw(7) << result.outcomes[0] << std::setw(7)
-              << result.outcomes[1] << std::setw(6) << unknown(result) << std::setw(7) << result.brokenFlows << std::setw(6) << result.runTwice << std::setw(6)
-              << result.falseNotRun << std::setw(6) << result.wrongAnswers << std::setw(6) << result.lateWork << std::fixed << std::setprecision(3)
-              << std::setw(7) << result.imbalance << std::setprecision(2) << std::setw(6) << result.occupancyP99 << std::setprecision(3) << std::setw(8)
-              << result.goodput << std::setprecision(0) << std::setw(7) << milliseconds(result.p50) << std::setw(7) << milliseconds(result.p99) << std::setw(8)
-              << result.retries << std::setw(7) << result.controlBytesPerSecond << '\n';
+              << result.outcomes[1] << std::setw(6) << unknownOutcomes(result) << std::setw(7) << result.brokenFlows << std::setw(6) << result.runTwice
+              << std::setw(6) << result.falseNotRun << std::setw(6) << result.wrongAnswers << std::setw(6) << result.lateWork << std::fixed
+              << std::setprecision(3) << std::setw(7) << result.imbalance << std::setprecision(2) << std::setw(6) << result.occupancyP99 << std::setprecision(3)
+              << std::setw(8) << result.goodput << std::setprecision(0) << std::setw(7) << milliseconds(result.p50) << std::setw(7) << milliseconds(result.p99)
+              << std::setw(8) << result.retries << std::setw(7) << result.controlBytesPerSecond << '\n';
 }
 
 // ---- Scenarios ----
@@ -80,7 +80,7 @@
     SimulationOptions options;
 };
 
-std::vector<Scenario> scenariosOf(const std::string &place, const SimulatedDeployment &deployment, std::uint64_t seed)
+std::vector<Scenario> makeScenarios(const std::string &deploymentName, const SimulatedDeployment &deployment, std::uint64_t seed)
 {
     SimulationOptions base;
     base.deployment = deployment;
@@ -90,7 +90,7 @@
     const auto add = [&](const std::string &name, const std::function<void(SimulationOptions &)> &change) {
         SimulationOptions options = base;
         change(options);
-        scenarios.push_back({place + " " + name, options});
+        scenarios.push_back({deploymentName + " " + name, options});
     };
     for (const double load : {0.0, 0.5, 0.9, 1.2, 2.0}) {
         std::ostringstream name;
@@ -99,29 +99,29 @@
             options.load = load;
         });
     }
-    add("stop all 8 balancers in turn", stopEveryBalancer);
-    add("replace all 18 targets in turn", replaceEveryTarget);
+    add("stop all 8 balancers in turn", restartBalancersInTurn);
+    add("replace all 18 targets in turn", replaceTargetsInTurn);
     add("kill a balancer", [](SimulationOptions &options) {
         options.faults = {{seconds(5), FaultKind::KillBalancer, 3}};
     });
     add("freeze a balancer for 10 s", [](SimulationOptions &options) {
-        options.faults = {{seconds(5), FaultKind::FreezeBalancer, 3}, {seconds(15), FaultKind::ThawBalancer, 3}};
+        options.faults = {{seconds(5), FaultKind::FreezeBalancer, 3}, {seconds(15), FaultKind::UnfreezeBalancer, 3}};
     });
     add("cut a data centre for 10 s", [](SimulationOptions &options) {
-        options.faults = {{seconds(5), FaultKind::CutDataCentre, 1}, {seconds(15), FaultKind::JoinDataCentre, 1}};
+        options.faults = {{seconds(5), FaultKind::IsolateDataCentre, 1}, {seconds(15), FaultKind::ReconnectDataCentre, 1}};
     });
     add("kill a target, silence another", [](SimulationOptions &options) {
         options.faults = {{seconds(5), FaultKind::KillTarget, 1}, {seconds(8), FaultKind::SilenceTarget, 2}};
     });
-    add("10% lost, doubled, late", loseDoubleAndDelay);
-    add("all together", bringAllTogether);
+    add("10% lost, doubled, late", dropDuplicateAndDelay);
+    add("all together", combineAllFaults);
     return scenarios;
 }
 
 // ---- Comparison of policies ----
 
 template<SlotPolicy Policy>
-void compare(const char *name, const SimulatedDeployment &deployment, std::uint64_t seed)
+void printPolicyRows(const char *name, const SimulatedDeployment &deployment, std::uint64_t seed)
 {
     for (const double load : {0.5, 0.9, 1.2, 2.0}) {
         SimulationOptions options;
@@ -134,7 +134,7 @@
     }
 }
 
-void printIdealAndBaselines(const SimulatedDeployment &deployment, std::uint64_t seed)
+void printCentralQueueAndBaselines(const SimulatedDeployment &deployment, std::uint64_t seed)
 {
     constexpr Duration Length = seconds(30);
     constexpr Duration MaxWait = std::chrono::milliseconds(250);
@@ -142,7 +142,7 @@
     for (const SimulatedService &service : deployment.services) {
         std::cout << "service " << value(service.id) << ", central queue (goodput, p50 ms, p99 ms) and baselines (goodput, imbalance, broken of 40):\n";
         for (const double load : {0.5, 0.9, 1.2, 2.0}) {
-            const IdealResult ideal = simulateIdeal(service, load, Length, MaxWait, seed);
+            const CentralQueueResult ideal = simulateCentralQueue(service, load, Length, MaxWait, seed);
             std::cout << std::setprecision(1) << "  load " << load << std::setprecision(3) << "  ideal " << ideal.goodput << std::setprecision(0) << " "
                       << milliseconds(ideal.p50) << " " << milliseconds(ideal.p99) << std::setprecision(3);
             const std::pair<const char *, BaselineKind> kinds[] = {
@@ -161,7 +161,7 @@
 
 // ---- Bounds ----
 
-// Compares one figure of one scenario with its bounds; prints and counts what is outside.
+// Returns 1 and prints a line if the figure is outside its bounds, otherwise 0.
 int checkBound(const Row &row, const std::string &figure, double number, const Json &bound)
 {
     const double lowest = bound.value("min", -1e300);
@@ -203,11 +203,11 @@
 
 // ---- Hot path, timed ----
 
-constexpr std::size_t HeldFlows = 300'000;
+constexpr std::size_t MeasuredFlows = 300'000;
 
-// A balancer with peers, targets and many flows, built once.
-struct HotBalancer {
-    HotBalancer()
+// A balancer with 8 members in its cluster and 14 targets.
+struct BalancerFixture {
+    BalancerFixture()
         : core(settings())
     {
         const ServiceSettings services[] = {{ServiceId{1}, "rate-desk"}};
@@ -242,15 +242,15 @@
     BalancerCore<PartitionedSlots> core;
 };
 
-HotBalancer &hotBalancer()
+BalancerFixture &sharedBalancer()
 {
-    static HotBalancer hot;
+    static BalancerFixture hot;
     return hot;
 }
 
 void timeEstablished(benchmark::State &state)
 {
-    const HotBalancer &hot = hotBalancer();
+    const BalancerFixture &hot = sharedBalancer();
     const SealedConnectionId sealed = hot.core.context().sealer.seal({ServiceId{1}, TargetId{1}, hot.core.context().peers.self(), FlowId{1}});
     for (auto _ : state) {
         benchmark::DoNotOptimize(hot.core.route(sealed, ServiceId{1}));
@@ -267,7 +267,7 @@
 
 void timeOpening(benchmark::State &state)
 {
-    HotBalancer hot;
+    BalancerFixture hot;
     std::uint64_t nonce = 0;
     for (auto _ : state) {
         hot.core.handleCaller(hot.now, ServiceId{1}, {7, 7}, OpenFlow{++nonce});
@@ -277,7 +277,7 @@
 
 void timeAdmission(benchmark::State &state)
 {
-    HotBalancer hot;
+    BalancerFixture hot;
     hot.core.handleCaller(hot.now, ServiceId{1}, {7, 7}, OpenFlow{1});
     const auto opened = std::get<FlowOpened>(hot.core.takeOutbox().front().message);
     std::uint32_t request = 0;
@@ -298,7 +298,7 @@
 
 void timeFeedChoice(benchmark::State &state)
 {
-    HotBalancer &hot = hotBalancer();
+    BalancerFixture &hot = sharedBalancer();
     std::uint64_t flow = 0;
     for (auto _ : state) {
         benchmark::DoNotOptimize(chooseFeedTarget(hot.core.context().targets.targets(), ServiceId{1}, FlowId{++flow}, 8, std::nullopt, hot.now));
@@ -313,17 +313,17 @@
     }
 }
 
-// Bytes of heap for each held flow.
+// Heap bytes per flow in the flow table, beside the plain size of an entry.
 void measureFlowMemory(benchmark::State &state)
 {
     for (auto _ : state) {
         const std::size_t before = mallinfo2().uordblks + mallinfo2().hblkhd;
         FlowTable table;
-        for (std::uint64_t flow = 1; flow <= HeldFlows; ++flow) {
+        for (std::uint64_t flow = 1; flow <= MeasuredFlows; ++flow) {
             table.insert(FlowId{hashPair(flow, 1)}, Flow{});
         }
         const std::size_t after = mallinfo2().uordblks + mallinfo2().hblkhd;
-        state.counters["bytes_per_flow"] = static_cast<double>(after - before) / HeldFlows;
+        state.counters["bytes_per_flow"] = static_cast<double>(after - before) / MeasuredFlows;
         state.counters["bytes_of_record"] = sizeof(Flow) + sizeof(FlowId);
     }
 }
@@ -350,26 +350,26 @@
     }
     const std::uint64_t seed = std::strtoull(arguments.at("--seed").asString().c_str(), nullptr, 10);
     if (arguments.at("--timed").asBool()) {
-        int none = 1;
-        benchmark::Initialize(&none, argv);
+        int argumentCount = 1;
+        benchmark::Initialize(&argumentCount, argv);
         runTimed();
     }
     if (!arguments.at("--quick").asBool()) {
-        printHead();
-        for (const auto &[place, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
-            std::cout << "-- " << place << ", ways to share slots\n";
-            compare<OptimisticSlots>("own counts", deployment, seed);
-            compare<PartitionedTargets>("dealt targets", deployment, seed);
-            compare<PartitionedSlotsNoOffload>("dealt slots alone", deployment, seed);
-            compare<PartitionedSlots>("dealt slots, offload", deployment, seed);
-            printIdealAndBaselines(deployment, seed);
+        printHeader();
+        for (const auto &[deploymentName, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
+            std::cout << "-- " << deploymentName << ", ways to share slots\n";
+            printPolicyRows<OptimisticSlots>("own counts", deployment, seed);
+            printPolicyRows<PartitionedTargets>("dealt targets", deployment, seed);
+            printPolicyRows<PartitionedSlotsNoOffload>("dealt slots alone", deployment, seed);
+            printPolicyRows<PartitionedSlots>("dealt slots, offload", deployment, seed);
+            printCentralQueueAndBaselines(deployment, seed);
         }
     }
     std::vector<Row> rows;
     std::uint64_t signature = 0;
-    printHead();
-    for (const auto &[place, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
-        for (const Scenario &scenario : scenariosOf(place, deployment, seed)) {
+    printHeader();
+    for (const auto &[deploymentName, deployment] : {std::pair("kathmandu", kathmandu()), std::pair("bogota", bogota())}) {
+        for (const Scenario &scenario : makeScenarios(deploymentName, deployment, seed)) {
             rows.push_back({scenario.name, Simulation<PartitionedSlots>(scenario.options).run()});
             signature = hashPair(signature, rows.back().result.signature());
             print(rows.back());
--- a/bench/deployments.cpp
+++ b/bench/deployments.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Deployments: the two small deployments and the schedules of faults that benchmark and tests share.
+// The two reference deployments and the fault schedules shared by the benchmark and the tests.
 #include "simulation.h"
 
 namespace Robinrail {
@@ -16,14 +16,14 @@
 {
     SimulatedDeployment deployment;
     deployment.dataCentres = 4;
-    deployment.betweenDataCentres = std::chrono::microseconds(500);
-    deployment.toCallers = std::chrono::milliseconds(1);
+    deployment.interDataCentreDelay = std::chrono::microseconds(500);
+    deployment.callerDelay = std::chrono::milliseconds(1);
     deployment.services.push_back({ServiceId{1}, 14, 2, std::chrono::milliseconds(100), 1, false});
     deployment.services.push_back({ServiceId{2}, 4, 2, std::chrono::milliseconds(150), 5, true});
     return deployment;
 }
 
-void stopEveryBalancer(SimulationOptions &options)
+void restartBalancersInTurn(SimulationOptions &options)
 {
     using std::chrono::seconds;
     options.duration = seconds(125);
@@ -33,32 +33,32 @@
     }
 }
 
-void replaceEveryTarget(SimulationOptions &options)
+void replaceTargetsInTurn(SimulationOptions &options)
 {
     using std::chrono::seconds;
     options.duration = seconds(95);
-    int hosts = 0;
+    int targets = 0;
     for (const SimulatedService &service : options.deployment.services) {
-        hosts += service.hosts;
+        targets += service.targets;
     }
-    for (int number = 1; number <= hosts; ++number) {
+    for (int number = 1; number <= targets; ++number) {
         options.faults.push_back({seconds(5 * (number - 1) + 1), FaultKind::DrainTarget, number});
         options.faults.push_back({seconds(5 * (number - 1) + 5), FaultKind::KillTarget, number});
         options.faults.push_back({seconds(5 * (number - 1) + 6), FaultKind::StartTarget, number});
     }
 }
 
-void loseDoubleAndDelay(SimulationOptions &options)
+void dropDuplicateAndDelay(SimulationOptions &options)
 {
     options.drop = 0.1;
     options.duplicate = 0.1;
-    options.late = 0.1;
+    options.delayed = 0.1;
 }
 
-void bringAllTogether(SimulationOptions &options)
+void combineAllFaults(SimulationOptions &options)
 {
     using std::chrono::seconds;
-    loseDoubleAndDelay(options);
+    dropDuplicateAndDelay(options);
     options.duration = seconds(60);
     options.faults = {{seconds(3), FaultKind::KillBalancer, 3},
                       {seconds(8), FaultKind::StopBalancer, 5},
@@ -66,9 +66,9 @@
                       {seconds(12), FaultKind::StartBalancer, 3},
                       {seconds(14), FaultKind::KillTarget, 4},
                       {seconds(15), FaultKind::FreezeBalancer, 1},
-                      {seconds(22), FaultKind::ThawBalancer, 1},
-                      {seconds(24), FaultKind::CutDataCentre, 2},
-                      {seconds(32), FaultKind::JoinDataCentre, 2},
+                      {seconds(22), FaultKind::UnfreezeBalancer, 1},
+                      {seconds(24), FaultKind::IsolateDataCentre, 2},
+                      {seconds(32), FaultKind::ReconnectDataCentre, 2},
                       {seconds(33), FaultKind::StartTarget, 4},
                       {seconds(36), FaultKind::KillBalancer, 8}};
 }
--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -12,30 +12,31 @@
 namespace {
 
 constexpr Duration AnnounceInterval = std::chrono::milliseconds(770);
-constexpr Duration Tick = std::chrono::milliseconds(25);
-constexpr Duration Beat = std::chrono::milliseconds(500);
+constexpr Duration TickPeriod = std::chrono::milliseconds(25);
+constexpr Duration HeartbeatPeriod = std::chrono::milliseconds(500);
 
-// One way, between machines of one data centre and of two.
-constexpr Duration NearDelay = std::chrono::microseconds(300);
-constexpr Duration FarDelay = std::chrono::microseconds(1700);
+// One-way delays between machines of the same data centre and of different ones.
+constexpr Duration IntraDataCentreDelay = std::chrono::microseconds(300);
+constexpr Duration InterDataCentreDelay = std::chrono::microseconds(1700);
 
-// Replicas start within this of each other, and links come up as long after.
+// Replicas start at random times within this span; links come up within the next one, balancers follow within the third.
 constexpr Duration StartSpread = std::chrono::milliseconds(100);
 
-constexpr LossTolerance Borne{2, 1};
+constexpr LossTolerance ToleratedLoss{2, 1};
 
-Duration fraction(Duration whole, std::uint64_t hash)
+// A pseudorandom duration below `whole`, from a hash.
+Duration pseudorandomBelow(Duration whole, std::uint64_t hash)
 {
     return Duration(static_cast<std::int64_t>(hash % static_cast<std::uint64_t>(whole.count())));
 }
 
 } // namespace
 
-// A replica's links: to the others, one dialled by each of a pair, and to balancers that only take.
+// A replica's links. Each replica of a pair dials one link to the other; links to balancers carry messages to them only.
 struct FleetModel::Links {
     struct Link {
         ReplicaLocation peer;
-        ReplicaLinkId peerLink = 0; // The same link as its other end calls it; 0 for a balancer's.
+        ReplicaLinkId peerLink = 0; // Handle of the same link at the peer; 0 for a balancer.
         bool dialled = false;
     };
 
@@ -96,9 +97,9 @@
     DataCentreId dataCentre{};
     std::uint32_t address = 0;
     std::uint64_t sequence = 0;
-    std::uint64_t generation = 0; // Lifetimes that began in its place.
+    std::uint64_t generation = 0; // Lifetimes that began earlier under the same key.
     TargetPhase phase = TargetPhase::Serving;
-    bool over = false;
+    bool ended = false;
 };
 
 void FleetModel::Links::sendEncoded(ReplicaLinkId handle, const Bytes &message)
@@ -117,7 +118,7 @@
     toReplicas.count(LinkDirection::Sent, distance, message);
     ++messagesToReplicas;
     const auto peer = static_cast<std::size_t>(value(link.peer.replica)) - 1;
-    model->at(model->m_now + (distance == LinkDistance::SameDataCentre ? NearDelay : FarDelay),
+    model->at(model->m_now + (distance == LinkDistance::SameDataCentre ? IntraDataCentreDelay : InterDataCentreDelay),
               [target = model, peer, peerLink = link.peerLink, bytes = message] {
                   target->deliver(peer, peerLink, bytes);
               });
@@ -144,9 +145,9 @@
 
 FleetModel::~FleetModel() = default;
 
-void FleetModel::at(TimePoint time, std::function<void()> run)
+void FleetModel::at(TimePoint time, std::function<void()> action)
 {
-    m_events.push({time, ++m_order, std::move(run)});
+    m_events.push({time, ++m_lastOrder, std::move(action)});
 }
 
 void FleetModel::run(Duration duration)
@@ -156,13 +157,13 @@
         const Event event = m_events.top();
         m_events.pop();
         m_now = event.at;
-        event.run();
+        event.action();
     }
     m_now = end;
 }
 
 template<typename Work>
-void FleetModel::timed(Replica &replica, Work work)
+void FleetModel::measureWork(Replica &replica, Work work)
 {
     const auto began = std::chrono::steady_clock::now();
     work();
@@ -171,15 +172,15 @@
 
 void FleetModel::start()
 {
-    bootAll(std::vector<std::vector<TargetStatus>>(m_replicas.size()));
+    startReplicas(std::vector<std::vector<TargetStatus>>(m_replicas.size()));
     for (std::size_t i = 0; i < m_targets.size(); ++i) {
-        at(m_now + StartSpread + fraction(AnnounceInterval, hashPair(m_seed + 1, i)), [this, i] {
+        at(m_now + StartSpread + pseudorandomBelow(AnnounceInterval, hashPair(m_seed + 1, i)), [this, i] {
             announce(i, 0);
         });
     }
 }
 
-void FleetModel::restartAll(Duration pause, const std::vector<std::size_t> &emptied)
+void FleetModel::restartAll(Duration pause, const std::vector<std::size_t> &wipedReplicas)
 {
     std::vector<std::vector<TargetStatus>> known;
     for (const auto &replica : m_replicas) {
@@ -187,25 +188,25 @@
         replica->exchange.reset();
         replica->links.links.clear();
     }
-    for (const std::size_t replica : emptied) {
+    for (const std::size_t replica : wipedReplicas) {
         known[replica].clear();
     }
     ++m_boot;
     run(pause);
-    bootAll(std::move(known));
+    startReplicas(std::move(known));
 }
 
-// Replicas first, then links between all of them, then the balancers of each data centre at its replicas in turn.
-void FleetModel::bootAll(std::vector<std::vector<TargetStatus>> known)
+// Starts the replicas, then links between all of them, then attaches each balancer to a pseudorandom replica of its data centre.
+void FleetModel::startReplicas(std::vector<std::vector<TargetStatus>> known)
 {
     for (std::size_t i = 0; i < m_replicas.size(); ++i) {
-        const Duration late = fraction(StartSpread, hashPair(m_seed + 2, m_boot << 32U | i));
-        at(m_now + late, [this, i, boot = m_boot, known = std::move(known[i])] {
+        const Duration startOffset = pseudorandomBelow(StartSpread, hashPair(m_seed + 2, m_boot << 32U | i));
+        at(m_now + startOffset, [this, i, boot = m_boot, known = std::move(known[i])] {
             Replica &replica = *m_replicas[i];
             replica.links.model = this;
             replica.links.owner = i;
-            timed(replica, [&] {
-                replica.exchange = std::make_unique<BasicTargetExchange<Links>>(replica.links, m_now, replica.place, AnnounceInterval, Borne);
+            measureWork(replica, [&] {
+                replica.exchange = std::make_unique<BasicTargetExchange<Links>>(replica.links, m_now, replica.place, AnnounceInterval, ToleratedLoss);
                 replica.exchange->restore(m_now, known);
             });
             tick(i, boot);
@@ -213,28 +214,28 @@
     }
     for (std::size_t one = 0; one < m_replicas.size(); ++one) {
         for (std::size_t other = 0; other < m_replicas.size(); ++other) {
-            const Duration late = fraction(StartSpread, hashPair(one, other << 32U | m_boot));
+            const Duration startOffset = pseudorandomBelow(StartSpread, hashPair(one, other << 32U | m_boot));
             if (one != other) {
-                at(m_now + StartSpread + late, [this, one, other] {
-                    linkUp(one, other);
+                at(m_now + StartSpread + startOffset, [this, one, other] {
+                    connectReplicas(one, other);
                 });
             }
         }
     }
     for (std::size_t i = 0; i < m_shape.dataCentres * m_shape.balancersEach; ++i) {
         const DataCentreId dataCentre = DataCentreId(1 + i % m_shape.dataCentres);
-        const std::size_t followed = i % m_shape.dataCentres + m_shape.dataCentres * (hashPair(m_seed + 3, i) % m_shape.replicasEach);
-        at(m_now + 2 * StartSpread + fraction(StartSpread, hashPair(m_seed + 4, i)), [this, dataCentre, followed] {
-            Replica &replica = *m_replicas[followed];
+        const std::size_t replicaIndex = i % m_shape.dataCentres + m_shape.dataCentres * (hashPair(m_seed + 3, i) % m_shape.replicasEach);
+        at(m_now + 2 * StartSpread + pseudorandomBelow(StartSpread, hashPair(m_seed + 4, i)), [this, dataCentre, replicaIndex] {
+            Replica &replica = *m_replicas[replicaIndex];
             replica.links.links[++m_lastLink] = {{ReplicaId{0}, dataCentre}, 0, false};
-            timed(replica, [&] {
+            measureWork(replica, [&] {
                 replica.exchange->follow(m_now, m_lastLink, FollowDirectory{});
             });
         });
     }
 }
 
-void FleetModel::linkUp(std::size_t dialler, std::size_t acceptor)
+void FleetModel::connectReplicas(std::size_t dialler, std::size_t acceptor)
 {
     Replica &one = *m_replicas[dialler];
     Replica &other = *m_replicas[acceptor];
@@ -242,10 +243,10 @@
     const ReplicaLinkId there = ++m_lastLink;
     one.links.links[here] = {other.place, there, true};
     other.links.links[there] = {one.place, here, false};
-    timed(one, [&] {
+    measureWork(one, [&] {
         one.exchange->linked(other.place.replica, here);
     });
-    timed(other, [&] {
+    measureWork(other, [&] {
         other.exchange->linked(one.place.replica, there);
     });
 }
@@ -255,10 +256,10 @@
     Replica &replica = *m_replicas[to];
     const auto at = replica.links.links.find(link);
     if (at == replica.links.links.end()) {
-        return; // Lost with the link.
+        return; // The link closed while the message was in flight.
     }
     const ReplicaLocation peer = at->second.peer;
-    timed(replica, [&] {
+    measureWork(replica, [&] {
         if (const std::optional<NodeMessage> decoded = decodeMessage<NodeMessage>(message)) {
             dispatch(replica, peer, link, *decoded);
         }
@@ -291,22 +292,22 @@
     if (boot != m_boot) {
         return;
     }
-    timed(replica, [&] {
+    measureWork(replica, [&] {
         replica.exchange->reconcile(m_now);
         replica.exchange->publish(m_now);
         replica.exchange->expireDrains(m_now);
-        if (m_now.time_since_epoch() / Tick % (Beat / Tick) == static_cast<std::int64_t>(number) % (Beat / Tick)) {
+        if (m_now.time_since_epoch() / TickPeriod % (HeartbeatPeriod / TickPeriod) == static_cast<std::int64_t>(number) % (HeartbeatPeriod / TickPeriod)) {
             replica.exchange->sendHeartbeat(m_now);
         }
     });
-    at(m_now + Tick, [this, number, boot] {
+    at(m_now + TickPeriod, [this, number, boot] {
         tick(number, boot);
     });
 }
 
 // ---- Targets ----
 
-TargetRecord FleetModel::recordOf(const Target &target) const
+TargetRecord FleetModel::makeRecord(const Target &target) const
 {
     TargetRecord record;
     record.key = target.key;
@@ -323,15 +324,15 @@
 void FleetModel::announce(std::size_t number, std::uint64_t generation)
 {
     Target &target = m_targets[number];
-    if (target.over || target.generation != generation) {
+    if (target.ended || target.generation != generation) {
         return;
     }
     ++target.sequence;
     const std::size_t place = hashPair(value(target.key), 9) % m_shape.replicasEach;
     Replica &replica = *m_replicas[value(target.dataCentre) - 1U + m_shape.dataCentres * place];
     if (replica.exchange) {
-        timed(replica, [&] {
-            replica.exchange->announce(m_now, recordOf(target), [](bool) {});
+        measureWork(replica, [&] {
+            replica.exchange->announce(m_now, makeRecord(target), [](bool) {});
         });
     }
     at(m_now + AnnounceInterval, [this, number, generation] {
@@ -339,44 +340,44 @@
     });
 }
 
-void FleetModel::drain(std::size_t targetsEach, Duration within, Duration serveOn)
+void FleetModel::drain(std::size_t targetsEach, Duration within, Duration endDelay)
 {
     const std::size_t count = targetsEach * m_shape.dataCentres;
     for (std::size_t i = 0; i < std::min(count, m_targets.size()); ++i) {
-        at(m_now + Duration(within.count() * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(count)), [this, i, serveOn] {
-            drainTarget(i, serveOn);
+        at(m_now + Duration(within.count() * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(count)), [this, i, endDelay] {
+            drainTarget(i, endDelay);
         });
     }
 }
 
-void FleetModel::drainTarget(std::size_t number, Duration serveOn)
+void FleetModel::drainTarget(std::size_t number, Duration endDelay)
 {
     Target &target = m_targets[number];
     target.phase = TargetPhase::Draining;
     ++target.sequence;
-    ++m_drainsAsked;
+    ++m_drainsStarted;
     const std::size_t place = hashPair(value(target.key), 9) % m_shape.replicasEach;
     Replica &replica = *m_replicas[value(target.dataCentre) - 1U + m_shape.dataCentres * place];
-    timed(replica, [&] {
-        replica.exchange->announce(m_now, recordOf(target), [this, began = m_now](bool taken) {
+    measureWork(replica, [&] {
+        replica.exchange->announce(m_now, makeRecord(target), [this, began = m_now](bool taken) {
             m_drainsAnswered += taken ? 1 : 0;
             m_longestDrainAnswer = std::max(m_longestDrainAnswer, m_now - began);
         });
     });
-    at(m_now + serveOn, [this, number, &replica] {
+    at(m_now + endDelay, [this, number, &replica] {
         Target &ending = m_targets[number];
-        ending.over = true;
-        timed(replica, [&] {
+        ending.ended = true;
+        measureWork(replica, [&] {
             replica.exchange->leave(m_now, ending.key, 0, [](bool) {});
         });
     });
 }
 
-// ---- Figures ----
+// ---- Metrics ----
 
-FleetFigures FleetModel::takeFigures()
+FleetMetrics FleetModel::takeMetrics()
 {
-    FleetFigures figures;
+    FleetMetrics figures;
     for (const auto &replica : m_replicas) {
         Links &links = replica->links;
         const auto sent = [](const LinkTraffic &traffic, LinkDistance distance) {
@@ -384,21 +385,21 @@
         };
         figures.replicaBytes += sent(links.toReplicas, LinkDistance::SameDataCentre) + sent(links.toReplicas, LinkDistance::OtherDataCentre);
         figures.balancerBytes += sent(links.toBalancers, LinkDistance::SameDataCentre) + sent(links.toBalancers, LinkDistance::OtherDataCentre);
-        figures.farBytes += sent(links.toReplicas, LinkDistance::OtherDataCentre) + sent(links.toBalancers, LinkDistance::OtherDataCentre);
+        figures.crossDataCentreBytes += sent(links.toReplicas, LinkDistance::OtherDataCentre) + sent(links.toBalancers, LinkDistance::OtherDataCentre);
         figures.replicaMessages += static_cast<double>(std::exchange(links.messagesToReplicas, 0));
-        figures.busiestProcessorSeconds = std::max(figures.busiestProcessorSeconds, replica->processorSeconds);
+        figures.maxProcessorSeconds = std::max(figures.maxProcessorSeconds, replica->processorSeconds);
         figures.processorSeconds += std::exchange(replica->processorSeconds, 0.0);
         links.toReplicas = {};
         links.toBalancers = {};
     }
     const auto count = static_cast<double>(m_replicas.size());
-    for (double *sum : {&figures.replicaBytes, &figures.balancerBytes, &figures.farBytes, &figures.replicaMessages, &figures.processorSeconds}) {
+    for (double *sum : {&figures.replicaBytes, &figures.balancerBytes, &figures.crossDataCentreBytes, &figures.replicaMessages, &figures.processorSeconds}) {
         *sum /= count;
     }
     return figures;
 }
 
-bool FleetModel::alike() const
+bool FleetModel::inSync() const
 {
     const auto digest = [this](const Replica &replica) {
         TargetDirectory directory(AnnounceInterval, AnnounceInterval);
@@ -420,7 +421,7 @@
 
 std::size_t FleetModel::drainsUnanswered() const
 {
-    return m_drainsAsked - m_drainsAnswered;
+    return m_drainsStarted - m_drainsAnswered;
 }
 
 } // namespace Robinrail
--- a/bench/random_draws.h
+++ b/bench/random_draws.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Random draws: the distributions that simulations draw from, of any generator.
+// Random draws for the simulation, from any uniform random bit generator.
 #pragma once
 
 #include "types.h"
@@ -12,22 +12,25 @@
 
 namespace Robinrail {
 
+// From [0, 1).
 template<typename Random>
-double uniformOf(Random &random)
+double drawUniform(Random &random)
 {
     boost::random::uniform_real_distribution<double> distribution(0, 1);
     return distribution(random);
 }
 
+// From [0, count).
 template<typename Random>
-std::size_t below(Random &random, std::size_t count)
+std::size_t drawIndex(Random &random, std::size_t count)
 {
     boost::random::uniform_int_distribution<std::size_t> distribution(0, count - 1);
     return distribution(random);
 }
 
+// At least 1 us, so that a draw is never zero.
 template<typename Random>
-Duration exponentialOf(Random &random, Duration mean)
+Duration drawExponential(Random &random, Duration mean)
 {
     boost::random::exponential_distribution<double> distribution(1.0 / static_cast<double>(mean.count()));
     return Duration(1 + static_cast<std::int64_t>(distribution(random)));
--- a/src/standin_fabric.cpp
+++ b/src/standin_fabric.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Stand-in fabric: hands every packet that comes to one of its addresses to a random balancer.
+// Stand-in fabric: forwards every packet that arrives at one of its addresses to a random balancer.
 //
-// A real fabric keeps the caller's address. Without privileges this one can't, so it has one socket for
-// each caller: balancers answer to that socket, and the fabric passes the answer on.
+// A real fabric keeps the source address of a packet. An unprivileged process can't, so this one opens a socket for each
+// caller: balancers answer to that socket, and the fabric forwards the answer to the caller.
 #include "settings.h"
 #include "standin.h"
 #include "standin_common.h"
@@ -28,7 +28,7 @@
         , m_options(options)
         , m_random(random)
         , m_socket(io, *parseEndpoint(route.listen), [this](Endpoint from, BytesView bytes) {
-            take(from, bytes);
+            handleDatagram(from, bytes);
         })
     {
         for (const std::string &balancer : route.balancers) {
@@ -37,23 +37,23 @@
     }
 
 private:
-    void take(Endpoint caller, BytesView bytes)
+    void handleDatagram(Endpoint caller, BytesView bytes)
     {
-        DatagramSocket &socket = socketOf(caller);
+        DatagramSocket &socket = socketFor(caller);
         if (chance(m_options.drop)) {
             return;
         }
-        socket.send(pick(), bytes);
+        socket.send(pickBalancer(), bytes);
         if (chance(m_options.duplicate)) {
-            socket.send(pick(), bytes);
+            socket.send(pickBalancer(), bytes);
         }
     }
 
-    DatagramSocket &socketOf(Endpoint caller)
+    DatagramSocket &socketFor(Endpoint caller)
     {
         std::unique_ptr<DatagramSocket> &socket = m_callers[caller];
         if (!socket) {
-            // The caller's own address with any port, so that balancers tell callers apart.
+            // The caller's own address with an ephemeral port, so that balancers can tell callers apart.
             socket = std::make_unique<DatagramSocket>(m_io, Endpoint{caller.address, 0}, [this, caller](Endpoint, BytesView bytes) {
                 m_socket.send(caller, bytes);
             });
@@ -61,7 +61,7 @@
         return *socket;
     }
 
-    Endpoint pick()
+    Endpoint pickBalancer()
     {
         boost::random::uniform_int_distribution<std::size_t> any(0, m_balancers.size() - 1);
         return m_balancers[any(m_random)];
--- a/src/standin_verify.cpp
+++ b/src/standin_verify.cpp
@@ -22,7 +22,7 @@
     return file ? Json::parse(file, nullptr, false) : Json(nullptr);
 }
 
-// What the targets saw, all together.
+// Totals over the reports of all targets.
 struct TargetTotals {
     std::map<std::string, int> executions;
     std::map<int, std::vector<double>> busyByService;
@@ -30,7 +30,7 @@
     std::size_t missing = 0;
 };
 
-TargetTotals sumTargets(const std::vector<std::string> &paths)
+TargetTotals sumTargetReports(const std::vector<std::string> &paths)
 {
     TargetTotals totals;
     for (const std::string &path : paths) {
@@ -48,6 +48,7 @@
     return totals;
 }
 
+// Max/mean busy time.
 double imbalance(const std::vector<double> &busy)
 {
     double sum = 0;
@@ -63,11 +64,12 @@
 int verifyReports(const StandinVerifyOptions &options)
 {
     const Json callers = readReport(options.callers);
-    const TargetTotals totals = sumTargets(options.targets);
+    const TargetTotals totals = sumTargetReports(options.targets);
     if (!callers.is_object() || totals.missing > 0) {
         std::cout << "reports missing: " << totals.missing + (callers.is_object() ? 0 : 1) << '\n';
         return 1;
     }
+    // Tags that end in "r" belong to repeatable requests, which may run more than once.
     const auto runTwice = std::count_if(totals.executions.begin(), totals.executions.end(), [](const auto &entry) {
         return entry.second > 1 && !entry.first.ends_with('r');
     });
@@ -84,15 +86,15 @@
     }
     std::cout << "seconds to be in force, first bundle: " << options.firstRolloutSeconds << '\n';
     std::cout << "seconds to be in force, second bundle under traffic: " << options.rolloutSeconds << '\n';
-    const std::pair<const char *, std::uint64_t> zeros[] = {
+    const std::pair<const char *, std::uint64_t> invariants[] = {
         {"broken flows", callers["broken"].get<std::uint64_t>()},
         {"requests run twice", static_cast<std::uint64_t>(runTwice)},
         {"false \"not run\"", falseNotRun},
-        {"half or foreign answers", callers["wrongAnswers"].get<std::uint64_t>()},
+        {"incomplete or wrong answers", callers["wrongAnswers"].get<std::uint64_t>()},
         {"work at a leaving target after 3 s", totals.lateWork},
     };
     std::uint64_t sum = 0;
-    for (const auto &[name, figure] : zeros) {
+    for (const auto &[name, figure] : invariants) {
         std::cout << "must be 0: " << name << ": " << figure << '\n';
         sum += figure;
     }
--- a/tests/test_proofs.cpp
+++ b/tests/test_proofs.cpp
@@ -47,7 +47,7 @@
 
 TEST_CASE("every balancer is stopped in turn with feeds open: no broken flow")
 {
-    runForSeeds(stopEveryBalancer, [](const SimulationResult &result) {
+    runForSeeds(restartBalancersInTurn, [](const SimulationResult &result) {
         CHECK(result.brokenFlows == 0);
         CHECK(result.stoppedBalancers == 8);
         CHECK(result.longestStall < seconds(2));
@@ -57,7 +57,7 @@
 
 TEST_CASE("every target is replaced in turn: no broken flow, and no new work after 3 s")
 {
-    runForSeeds(replaceEveryTarget, [](const SimulationResult &result) {
+    runForSeeds(replaceTargetsInTurn, [](const SimulationResult &result) {
         CHECK(result.brokenFlows == 0);
         CHECK(result.lateWork == 0);
         CHECK(result.unanswered == 0);
@@ -66,7 +66,7 @@
 
 TEST_CASE("a tenth of the packets lost, duplicated and delayed: requests are answered completely or refused once")
 {
-    runForSeeds(loseDoubleAndDelay, [](const SimulationResult &result) {
+    runForSeeds(dropDuplicateAndDelay, [](const SimulationResult &result) {
         CHECK(result.brokenFlows == 0);
         CHECK(result.sent >= result.outcomes[0]);
     });
@@ -88,7 +88,7 @@
 {
     runForSeeds(
         [](SimulationOptions &options) {
-            options.faults = {{seconds(5), FaultKind::FreezeBalancer, 3}, {seconds(15), FaultKind::ThawBalancer, 3}};
+            options.faults = {{seconds(5), FaultKind::FreezeBalancer, 3}, {seconds(15), FaultKind::UnfreezeBalancer, 3}};
         },
         [](const SimulationResult &result) {
             CHECK(result.brokenFlows == 0);
@@ -99,7 +99,7 @@
 {
     runForSeeds(
         [](SimulationOptions &options) {
-            options.faults = {{seconds(5), FaultKind::CutDataCentre, 1}, {seconds(15), FaultKind::JoinDataCentre, 1}};
+            options.faults = {{seconds(5), FaultKind::IsolateDataCentre, 1}, {seconds(15), FaultKind::ReconnectDataCentre, 1}};
         },
         [](const SimulationResult &result) {
             CHECK(result.brokenFlows == 0);
@@ -119,7 +119,7 @@
 
 TEST_CASE("all faults together keep the invariants")
 {
-    runForSeeds(bringAllTogether, [](const SimulationResult &) {});
+    runForSeeds(combineAllFaults, [](const SimulationResult &) {});
 }
 
 TEST_CASE("a balancer that joins under traffic has the same view of the targets as the others")
@@ -152,6 +152,6 @@
 {
     SimulationOptions options = optionsForSeed(1);
     options.duration = seconds(10);
-    loseDoubleAndDelay(options);
+    dropDuplicateAndDelay(options);
     CHECK(Simulation<PartitionedSlots>(options).run().signature() == Simulation<PartitionedSlots>(options).run().signature());
 }
