--- a/soak/fault_proxy.cpp
+++ b/soak/fault_proxy.cpp
@@ -146,7 +146,7 @@
     m_fault = fault;
     m_delay = delay;
     for (const std::weak_ptr<Pipe> &each : m_pipes) {
-        if (const std::shared_ptr<Pipe> pipe = each.lock(); pipe && fault == LinkFault::OpenSilent) {
+        if (const std::shared_ptr<Pipe> pipe = each.lock(); pipe && fault == LinkFault::ExistingConnectionsStalled) {
             pipe->silenceForGood();
         }
     }
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -17,7 +17,7 @@
     Delayed, // Bytes come late, in order.
     Silent, // Nothing passes in either direction, and nothing is closed.
     OneWay, // Nothing passes from the replica to those who dialled.
-    OpenSilent, // Connections that are open now fall silent for good; new ones work.
+    ExistingConnectionsStalled, // Connections that are open now fall silent for good; new ones work.
 };
 
 class FaultProxy
--- a/soak/fault_schedule.cpp
+++ b/soak/fault_schedule.cpp
@@ -56,7 +56,7 @@
         {2, links(LinkFault::Delayed)},
         {2, links(LinkFault::Silent)},
         {2, links(LinkFault::OneWay)},
-        {2, links(LinkFault::OpenSilent)},
+        {2, links(LinkFault::ExistingConnectionsStalled)},
         {2,
          [this](TimePoint now) {
              m_nodes.resetLinks(now, pick(m_random, m_plan.replicas));
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -249,7 +249,7 @@
     }
     pass(LinkPingInterval);
     const LinkHandle silent = near.dialled().front();
-    proxy.setFault(Soak::LinkFault::OpenSilent, {});
+    proxy.setFault(Soak::LinkFault::ExistingConnectionsStalled, {});
     const TimePoint fell = now;
     while (near.linkTo(Far) == silent && now - fell < LinkSilenceLimit * 2) {
         pass(Tick);
@@ -310,7 +310,7 @@
     passUntil([&] {
         return now - up >= LinkPingInterval * 2;
     });
-    proxy.setFault(Soak::LinkFault::OpenSilent, {});
+    proxy.setFault(Soak::LinkFault::ExistingConnectionsStalled, {});
     const TimePoint fell = now;
     REQUIRE(passUntil([&] {
         return closed == 1;
