--- a/soak/drain_orders.cpp
+++ b/soak/drain_orders.cpp
@@ -11,94 +11,94 @@
 
 // Long enough, now and then, that openings come after the order must be in force; short enough for several in a run.
 constexpr milliseconds MaxIdleTime{2500};
-constexpr milliseconds MinDrain{300};
-constexpr milliseconds MaxDrain{7000};
+constexpr milliseconds MinDrainTime{300};
+constexpr milliseconds MaxDrainTime{7000};
 
 } // namespace
 
-DrainOrders::DrainOrders(boost::asio::io_context &io, const Plan &plan, Promises &promises, std::uint64_t seed)
+DrainOperator::DrainOperator(boost::asio::io_context &io, const Topology &topology, Violations &violations, std::uint64_t seed)
     : m_io(io)
-    , m_plan(plan)
-    , m_promises(promises)
+    , m_topology(topology)
+    , m_violations(violations)
     , m_random(seed)
 {
 }
 
-void DrainOrders::enter(TimePoint now, Step step)
+void DrainOperator::enterStep(TimePoint now, Step step)
 {
     m_step = step;
-    m_pause = FirstCallPause;
-    m_due = now;
+    m_retryDelay = FirstRetryDelay;
+    m_nextActionAt = now;
     if (step == Step::Drained) {
         m_drainedSince = now;
-        m_due = now + between(m_random, MinDrain, MaxDrain);
-    } else if (step == Step::Resting) {
-        m_due = now + between(m_random, milliseconds(0), MaxIdleTime);
+        m_nextActionAt = now + uniformDuration(m_random, MinDrainTime, MaxDrainTime);
+    } else if (step == Step::Idle) {
+        m_nextActionAt = now + uniformDuration(m_random, milliseconds(0), MaxIdleTime);
     } else {
         m_drainedSince.reset();
     }
 }
 
-void DrainOrders::tick(TimePoint now)
+void DrainOperator::tick(TimePoint now)
 {
-    const bool hurry = m_finishing && m_step == Step::Drained;
-    if (m_calling || (now < m_due && !hurry)) {
+    const bool endDrainEarly = m_finishing && m_step == Step::Drained;
+    if (m_callPending || (now < m_nextActionAt && !endDrainEarly)) {
         return;
     }
-    if (m_step == Step::Resting && !m_finishing) {
-        enter(now, Step::Draining);
+    if (m_step == Step::Idle && !m_finishing) {
+        enterStep(now, Step::Draining);
     } else if (m_step == Step::Drained) {
-        enter(now, Step::TakingBack);
+        enterStep(now, Step::Restoring);
     }
-    if (m_step == Step::Draining || m_step == Step::TakingBack) {
-        call(now);
+    if (m_step == Step::Draining || m_step == Step::Restoring) {
+        sendCommand(now);
     }
 }
 
-void DrainOrders::call(TimePoint now)
+void DrainOperator::sendCommand(TimePoint now)
 {
-    m_calling = true;
-    m_due = now + m_pause;
-    m_pause = std::min(m_pause * 2, MaxCallPause);
-    const Endpoint replica{m_plan.replica(pick(m_random, m_plan.replicas)), Plan::ControlPort};
+    m_callPending = true;
+    m_nextActionAt = now + m_retryDelay;
+    m_retryDelay = std::min(m_retryDelay * 2, MaxRetryDelay);
+    const Endpoint replica{m_topology.replica(uniformIndex(m_random, m_topology.replicas)), Topology::ControlPort};
     const HttpRequest request{m_step == Step::Draining ? "POST" : "DELETE", Platform::drainPath(DrainedDataCentre), {}, {}, {}};
-    callReplica(m_io, replica, request, [this, step = m_step](const std::optional<HttpReply> &reply) {
-        answered(step, reply);
+    callLeader(m_io, replica, request, [this, step = m_step](const std::optional<HttpReply> &reply) {
+        handleReply(step, reply);
     });
 }
 
-void DrainOrders::answered(Step step, const std::optional<HttpReply> &reply)
+void DrainOperator::handleReply(Step step, const std::optional<HttpReply> &reply)
 {
     constexpr unsigned FirstRefusal = 400;
     constexpr unsigned FirstFailure = 500;
-    m_calling = false;
+    m_callPending = false;
     if (reply && reply->status == Ok) {
-        ++m_taken;
-        return enter(monotonicNow(), step == Step::Draining ? Step::Drained : Step::Resting);
+        ++m_acceptedCommands;
+        return enterStep(monotonicNow(), step == Step::Draining ? Step::Drained : Step::Idle);
     }
     if (reply && reply->status >= FirstRefusal && reply->status < FirstFailure) {
-        m_promises.broken("an order to drain a data centre is taken", std::to_string(reply->status) + " " + reply->body);
+        m_violations.report("an order to drain a data centre is taken", std::to_string(reply->status) + " " + reply->body);
     }
 }
 
-void DrainOrders::finish()
+void DrainOperator::finish()
 {
     m_finishing = true;
 }
 
-std::optional<TimePoint> DrainOrders::drainedSince() const
+std::optional<TimePoint> DrainOperator::drainedSince() const
 {
     return m_drainedSince;
 }
 
-bool DrainOrders::settled() const
+bool DrainOperator::idle() const
 {
-    return m_step == Step::Resting;
+    return m_step == Step::Idle;
 }
 
-std::size_t DrainOrders::taken() const
+std::size_t DrainOperator::acceptedCommands() const
 {
-    return m_taken;
+    return m_acceptedCommands;
 }
 
 } // namespace Robinrail::Soak
--- a/soak/drain_orders.h
+++ b/soak/drain_orders.h
@@ -10,10 +10,10 @@
 
 namespace Robinrail::Soak {
 
-class DrainOrders
+class DrainOperator
 {
 public:
-    DrainOrders(boost::asio::io_context &io, const Plan &plan, Promises &promises, std::uint64_t seed);
+    DrainOperator(boost::asio::io_context &io, const Topology &topology, Violations &violations, std::uint64_t seed);
 
     void tick(TimePoint now);
 
@@ -24,33 +24,33 @@
     std::optional<TimePoint> drainedSince() const;
 
     // Whether nothing is drained and no order is under way.
-    bool settled() const;
+    bool idle() const;
 
-    std::size_t taken() const;
+    std::size_t acceptedCommands() const;
 
 private:
     enum class Step : std::uint8_t {
-        Resting,
+        Idle,
         Draining, // The order is under way.
         Drained,
-        TakingBack,
+        Restoring,
     };
 
-    void enter(TimePoint now, Step step);
-    void call(TimePoint now);
-    void answered(Step step, const std::optional<HttpReply> &reply);
+    void enterStep(TimePoint now, Step step);
+    void sendCommand(TimePoint now);
+    void handleReply(Step step, const std::optional<HttpReply> &reply);
 
     boost::asio::io_context &m_io;
-    Plan m_plan;
-    Promises &m_promises;
+    Topology m_topology;
+    Violations &m_violations;
     Random m_random;
-    Step m_step = Step::Resting;
+    Step m_step = Step::Idle;
     bool m_finishing = false;
-    bool m_calling = false;
-    TimePoint m_due; // Of the next call, or of the next order.
-    Duration m_pause{};
+    bool m_callPending = false;
+    TimePoint m_nextActionAt; // Of the next call, or of the next order.
+    Duration m_retryDelay{};
     std::optional<TimePoint> m_drainedSince;
-    std::size_t m_taken = 0;
+    std::size_t m_acceptedCommands = 0;
 };
 
 } // namespace Robinrail::Soak
--- a/soak/fabric.h
+++ b/soak/fabric.h
@@ -12,7 +12,7 @@
 class Fabric
 {
 public:
-    Fabric(boost::asio::io_context &io, const Plan &plan, std::uint64_t seed, DatagramSocket::Receive receive);
+    Fabric(boost::asio::io_context &io, const Topology &topology, std::uint64_t seed, DatagramSocket::Receive receive);
 
     // Sends a caller's packet to a balancer: mostly the same one for a flow, at times any other. A few packets
     // are lost, come twice or late.
@@ -20,27 +20,27 @@
 
     void tick(TimePoint now);
 
-    std::size_t readyCount() const;
+    std::size_t readyBalancers() const;
 
 private:
-    struct Node {
-        int misses = 2; // In a row; out until it answers.
+    struct BalancerHealth {
+        int missedProbes = 2; // In a row; out until it answers.
     };
-    struct Late {
-        TimePoint due;
+    struct DelayedPacket {
+        TimePoint sendAt;
         Endpoint to;
         Bytes packet;
     };
-    std::size_t choose(std::uint16_t callerPort);
-    void probe();
+    std::size_t selectBalancer(std::uint16_t callerPort);
+    void probeBalancers();
 
     boost::asio::io_context &m_io;
-    Plan m_plan;
+    Topology m_topology;
     Random m_random;
     DatagramSocket m_socket; // Of all callers, at the port where balancers and targets answer.
-    std::vector<Node> m_nodes;
-    std::deque<Late> m_late;
-    TimePoint m_probeDue;
+    std::vector<BalancerHealth> m_balancers;
+    std::deque<DelayedPacket> m_delayed;
+    TimePoint m_nextProbeAt;
 };
 
 } // namespace Robinrail::Soak
--- a/soak/fault_proxy.cpp
+++ b/soak/fault_proxy.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // Bytes that are held back stay unread at most this long before the proxy looks again.
-constexpr milliseconds HoldCheck{20};
+constexpr milliseconds StallPollInterval{20};
 
 Tcp::endpoint toTcp(Endpoint endpoint)
 {
@@ -25,12 +25,12 @@
 } // namespace
 
 // One connection: two directions, each with at most one buffer under way. Keeps itself alive by its handlers.
-class FaultProxy::Pipe : public std::enable_shared_from_this<FaultProxy::Pipe>
+class FaultProxy::Connection : public std::enable_shared_from_this<FaultProxy::Connection>
 {
 public:
-    Pipe(boost::asio::io_context &io, const FaultProxy &proxy, Tcp::socket dialler)
+    Connection(boost::asio::io_context &io, const FaultProxy &proxy, Tcp::socket peer)
         : m_proxy(proxy)
-        , m_dialler{std::move(dialler), boost::asio::steady_timer(io), {}}
+        , m_peer{std::move(peer), boost::asio::steady_timer(io), {}}
         , m_replica{Tcp::socket(io), boost::asio::steady_timer(io), {}}
     {
     }
@@ -41,19 +41,19 @@
             if (error) {
                 return self->reset();
             }
-            self->pump(self->m_dialler, self->m_replica);
-            self->pump(self->m_replica, self->m_dialler);
+            self->relay(self->m_peer, self->m_replica);
+            self->relay(self->m_replica, self->m_peer);
         });
     }
 
-    void silenceForGood()
+    void stallPermanently()
     {
-        m_silenced = true;
+        m_stalled = true;
     }
 
     void reset()
     {
-        for (Side *side : {&m_dialler, &m_replica}) {
+        for (Side *side : {&m_peer, &m_replica}) {
             boost::system::error_code ignored;
             side->socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
             side->socket.close(ignored);
@@ -68,34 +68,34 @@
         std::array<char, 16384> buffer;
     };
 
-    bool held(const Side &from) const
+    bool isStalled(const Side &from) const
     {
-        const bool oneWay = m_proxy.m_fault == LinkFault::OneWay && &from == &m_replica;
-        return m_silenced || m_proxy.m_fault == LinkFault::Silent || oneWay;
+        const bool outputStalled = m_proxy.m_fault == LinkFault::ReplicaOutputStalled && &from == &m_replica;
+        return m_stalled || m_proxy.m_fault == LinkFault::Stalled || outputStalled;
     }
 
-    void pump(Side &from, Side &to)
+    void relay(Side &from, Side &to)
     {
         from.socket.async_read_some(boost::asio::buffer(from.buffer),
                                     [self = shared_from_this(), &from, &to](const boost::system::error_code &error, std::size_t size) {
                                         if (error) {
                                             return self->reset();
                                         }
-                                        const bool late = self->m_proxy.m_fault == LinkFault::Delayed;
-                                        self->passOn(from, to, size, late ? self->m_proxy.m_delay : milliseconds{0});
+                                        const bool delayed = self->m_proxy.m_fault == LinkFault::Delayed;
+                                        self->forward(from, to, size, delayed ? self->m_proxy.m_delay : milliseconds{0});
                                     });
     }
 
-    void passOn(Side &from, Side &to, std::size_t size, milliseconds pause)
+    void forward(Side &from, Side &to, std::size_t size, milliseconds delay)
     {
-        const milliseconds wait = held(from) ? HoldCheck : pause;
+        const milliseconds wait = isStalled(from) ? StallPollInterval : delay;
         if (wait == milliseconds{0}) {
             return write(from, to, size);
         }
         from.timer.expires_after(wait);
         from.timer.async_wait([self = shared_from_this(), &from, &to, size](const boost::system::error_code &error) {
             if (!error) {
-                self->passOn(from, to, size, milliseconds{0});
+                self->forward(from, to, size, milliseconds{0});
             }
         });
     }
@@ -105,14 +105,14 @@
         boost::asio::async_write(to.socket,
                                  boost::asio::buffer(from.buffer.data(), size),
                                  [self = shared_from_this(), &from, &to](const boost::system::error_code &error, std::size_t) {
-                                     error ? self->reset() : self->pump(from, to);
+                                     error ? self->reset() : self->relay(from, to);
                                  });
     }
 
     const FaultProxy &m_proxy;
-    Side m_dialler;
+    Side m_peer;
     Side m_replica;
-    bool m_silenced = false;
+    bool m_stalled = false;
 };
 
 FaultProxy::FaultProxy(boost::asio::io_context &io, Endpoint listen, Endpoint replica)
@@ -130,12 +130,12 @@
             return;
         }
         if (!error) {
-            const auto pipe = std::make_shared<Pipe>(m_io, *this, std::move(socket));
-            m_pipes.remove_if([](const std::weak_ptr<Pipe> &each) {
+            const auto connection = std::make_shared<Connection>(m_io, *this, std::move(socket));
+            m_connections.remove_if([](const std::weak_ptr<Connection> &each) {
                 return each.expired();
             });
-            m_pipes.push_back(pipe);
-            pipe->start(m_replica);
+            m_connections.push_back(connection);
+            connection->start(m_replica);
         }
         accept();
     });
@@ -145,18 +145,18 @@
 {
     m_fault = fault;
     m_delay = delay;
-    for (const std::weak_ptr<Pipe> &each : m_pipes) {
-        if (const std::shared_ptr<Pipe> pipe = each.lock(); pipe && fault == LinkFault::ExistingConnectionsStalled) {
-            pipe->silenceForGood();
+    for (const std::weak_ptr<Connection> &each : m_connections) {
+        if (const std::shared_ptr<Connection> connection = each.lock(); connection && fault == LinkFault::ExistingConnectionsStalled) {
+            connection->stallPermanently();
         }
     }
 }
 
-void FaultProxy::resetAll()
+void FaultProxy::resetConnections()
 {
-    for (const std::weak_ptr<Pipe> &each : m_pipes) {
-        if (const std::shared_ptr<Pipe> pipe = each.lock()) {
-            pipe->reset();
+    for (const std::weak_ptr<Connection> &each : m_connections) {
+        if (const std::shared_ptr<Connection> connection = each.lock()) {
+            connection->reset();
         }
     }
 }
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -15,8 +15,8 @@
 enum class LinkFault : std::uint8_t {
     None,
     Delayed, // Bytes come late, in order.
-    Silent, // Nothing passes in either direction, and nothing is closed.
-    OneWay, // Nothing passes from the replica to those who dialled.
+    Stalled, // Nothing passes in either direction, and nothing is closed.
+    ReplicaOutputStalled, // Nothing passes from the replica to those who dialled.
     ExistingConnectionsStalled, // Connections that are open now fall silent for good; new ones work.
 };
 
@@ -28,10 +28,10 @@
     void setFault(LinkFault fault, milliseconds delay);
 
     // Breaks all connections off.
-    void resetAll();
+    void resetConnections();
 
 private:
-    class Pipe;
+    class Connection;
     void accept();
 
     boost::asio::io_context &m_io;
@@ -39,7 +39,7 @@
     boost::asio::ip::tcp::acceptor m_acceptor;
     LinkFault m_fault = LinkFault::None;
     milliseconds m_delay{};
-    std::list<std::weak_ptr<Pipe>> m_pipes;
+    std::list<std::weak_ptr<Connection>> m_connections;
 };
 
 } // namespace Robinrail::Soak
--- a/soak/fault_schedule.cpp
+++ b/soak/fault_schedule.cpp
@@ -7,166 +7,167 @@
 namespace {
 
 // A trouble's length, and the pause until the next one begins: two or three overlap most of the time.
-constexpr milliseconds MinTrouble{200};
-constexpr milliseconds MaxTrouble{3500};
-constexpr milliseconds MinPause{100};
-constexpr milliseconds MaxPause{1300};
+constexpr milliseconds MinFaultDuration{200};
+constexpr milliseconds MaxFaultDuration{3500};
+constexpr milliseconds MinFaultInterval{100};
+constexpr milliseconds MaxFaultInterval{1300};
 
-constexpr milliseconds MinDelay{20};
-constexpr milliseconds MaxDelay{400};
+constexpr milliseconds MinLinkDelay{20};
+constexpr milliseconds MaxLinkDelay{400};
 
 // A crashed target's address is free for this long at least, and a target that restarts at once needs so long.
-constexpr milliseconds AddressPause{2500};
-constexpr milliseconds RestartPause{300};
+constexpr milliseconds LongTargetDowntime{2500};
+constexpr milliseconds ShortTargetDowntime{300};
 
-constexpr double HalfOfAll = 0.5;
-constexpr double All = 1;
+constexpr double HalfOfNodes = 0.5;
+constexpr double AllNodes = 1;
 
 } // namespace
 
-FaultSchedule::FaultSchedule(const Plan &plan, NodeHerd &nodes, TargetFleet &targets, OperatorDesk &desk, const Trouble &trouble, std::uint64_t seed)
-    : m_plan(plan)
+FaultScheduler::FaultScheduler(
+    const Topology &topology, NodeSupervisor &nodes, TargetSimulator &targets, RoutingOperator &routingOperator, const FaultTracker &faults, std::uint64_t seed)
+    : m_topology(topology)
     , m_nodes(nodes)
-    , m_trouble(trouble)
+    , m_faults(faults)
     , m_random(seed)
 {
-    const auto node = [this](bool replica, void (NodeHerd::*begin)(TimePoint, std::size_t, milliseconds)) {
-        return [this, replica, begin](TimePoint now) {
-            onNode(now, replica, begin);
+    const auto nodeFault = [this](bool replica, void (NodeSupervisor::*inject)(TimePoint, std::size_t, milliseconds)) {
+        return [this, replica, inject](TimePoint now) {
+            faultRandomNode(now, replica, inject);
         };
     };
-    const auto links = [this](LinkFault fault) {
+    const auto linkFault = [this](LinkFault fault) {
         return [this, fault](TimePoint now) {
-            harmLinks(now, fault);
+            injectLinkFault(now, fault);
         };
     };
-    m_kinds = {
-        {4, node(false, &NodeHerd::kill)},
-        {3, node(true, &NodeHerd::kill)},
-        {3, node(false, &NodeHerd::terminate)},
-        {2, node(true, &NodeHerd::terminate)},
-        {3, node(false, &NodeHerd::pause)},
-        {3, node(true, &NodeHerd::pause)},
-        {2, node(true, &NodeHerd::killAndTear)},
-        {2, node(true, &NodeHerd::killAndRefuse)},
+    m_faultKinds = {
+        {4, nodeFault(false, &NodeSupervisor::kill)},
+        {3, nodeFault(true, &NodeSupervisor::kill)},
+        {3, nodeFault(false, &NodeSupervisor::terminate)},
+        {2, nodeFault(true, &NodeSupervisor::terminate)},
+        {3, nodeFault(false, &NodeSupervisor::pause)},
+        {3, nodeFault(true, &NodeSupervisor::pause)},
+        {2, nodeFault(true, &NodeSupervisor::killAndTearLog)},
+        {2, nodeFault(true, &NodeSupervisor::killAndFailStorage)},
         {3,
          [this](TimePoint now) {
-             wipe(now);
+             wipeReplica(now);
          }},
-        {2, links(LinkFault::Delayed)},
-        {2, links(LinkFault::Silent)},
-        {2, links(LinkFault::OneWay)},
-        {2, links(LinkFault::ExistingConnectionsStalled)},
+        {2, linkFault(LinkFault::Delayed)},
+        {2, linkFault(LinkFault::Stalled)},
+        {2, linkFault(LinkFault::ReplicaOutputStalled)},
+        {2, linkFault(LinkFault::ExistingConnectionsStalled)},
         {2,
          [this](TimePoint now) {
-             m_nodes.resetLinks(now, pick(m_random, m_plan.replicas));
+             m_nodes.resetConnections(now, uniformIndex(m_random, m_topology.replicas));
          }},
         {1,
          [this](TimePoint now) {
-             killMany(now, true, All);
+             killNodes(now, true, AllNodes);
          }},
         {1,
          [this](TimePoint now) {
-             killMany(now, false, HalfOfAll);
+             killNodes(now, false, HalfOfNodes);
          }},
         {2,
          [this](TimePoint) {
-             m_nodes.hangUp(pick(m_random, m_nodes.size()));
+             m_nodes.sendHangup(uniformIndex(m_random, m_nodes.size()));
          }},
         {1,
          [this](TimePoint) {
-             m_nodes.rewriteSeeds(pick(m_random, m_nodes.size()), pick(m_random, m_plan.replicas));
+             m_nodes.rewriteSeedNodes(uniformIndex(m_random, m_nodes.size()), uniformIndex(m_random, m_topology.replicas));
          }},
         {3,
          [&targets](TimePoint now) {
-             targets.crash(now, AddressPause);
+             targets.crash(now, LongTargetDowntime);
          }},
         {2,
          [&targets](TimePoint now) {
-             targets.crash(now, RestartPause);
+             targets.crash(now, ShortTargetDowntime);
          }},
         {3,
          [&targets](TimePoint now) {
              targets.drain(now);
          }},
         {3,
-         [this, &desk](TimePoint now) {
-             m_withRoute = !m_withRoute;
-             desk.change(now, m_withRoute);
+         [this, &routingOperator](TimePoint now) {
+             m_withChangingRoute = !m_withChangingRoute;
+             routingOperator.submitChange(now, m_withChangingRoute);
          }},
     };
     std::vector<int> weights;
-    for (const Kind &kind : m_kinds) {
+    for (const FaultKind &kind : m_faultKinds) {
         weights.push_back(kind.weight);
     }
-    m_weights = std::discrete_distribution<std::size_t>(weights.begin(), weights.end());
+    m_kindDistribution = std::discrete_distribution<std::size_t>(weights.begin(), weights.end());
 }
 
-void FaultSchedule::tick(TimePoint now)
+void FaultScheduler::tick(TimePoint now)
 {
-    if (now >= m_due) {
-        m_due = now + between(m_random, MinPause, MaxPause);
-        ++m_drawn;
-        m_kinds[m_weights(m_random)].begin(now);
+    if (now >= m_nextFaultAt) {
+        m_nextFaultAt = now + uniformDuration(m_random, MinFaultInterval, MaxFaultInterval);
+        ++m_injectedFaults;
+        m_faultKinds[m_kindDistribution(m_random)].inject(now);
     }
 }
 
-std::size_t FaultSchedule::drawn() const
+std::size_t FaultScheduler::injectedFaults() const
 {
-    return m_drawn;
+    return m_injectedFaults;
 }
 
-milliseconds FaultSchedule::length()
+milliseconds FaultScheduler::randomDuration()
 {
-    return between(m_random, MinTrouble, MaxTrouble);
+    return uniformDuration(m_random, MinFaultDuration, MaxFaultDuration);
 }
 
-std::optional<std::size_t> FaultSchedule::idleNode(bool replica)
+std::optional<std::size_t> FaultScheduler::randomFaultableNode(bool replica)
 {
-    std::vector<std::size_t> idle;
+    std::vector<std::size_t> candidates;
     for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-        if (m_nodes.isReplica(i) == replica && m_nodes.idle(i)) {
-            idle.push_back(i);
+        if (m_nodes.isReplica(i) == replica && m_nodes.canInjectFault(i)) {
+            candidates.push_back(i);
         }
     }
-    return idle.empty() ? std::nullopt : std::optional(idle[pick(m_random, idle.size())]);
+    return candidates.empty() ? std::nullopt : std::optional(candidates[uniformIndex(m_random, candidates.size())]);
 }
 
-void FaultSchedule::onNode(TimePoint now, bool replica, void (NodeHerd::*trouble)(TimePoint, std::size_t, milliseconds))
+void FaultScheduler::faultRandomNode(TimePoint now, bool replica, void (NodeSupervisor::*inject)(TimePoint, std::size_t, milliseconds))
 {
-    if (const std::optional<std::size_t> node = idleNode(replica)) {
-        (m_nodes.*trouble)(now, *node, length());
+    if (const std::optional<std::size_t> node = randomFaultableNode(replica)) {
+        (m_nodes.*inject)(now, *node, randomDuration());
     }
 }
 
-void FaultSchedule::harmLinks(TimePoint now, LinkFault fault)
+void FaultScheduler::injectLinkFault(TimePoint now, LinkFault fault)
 {
-    m_nodes.harmLinks(now, pick(m_random, m_plan.replicas), fault, between(m_random, MinDelay, MaxDelay), length());
+    m_nodes.injectLinkFault(now, uniformIndex(m_random, m_topology.replicas), fault, uniformDuration(m_random, MinLinkDelay, MaxLinkDelay), randomDuration());
 }
 
-void FaultSchedule::killMany(TimePoint now, bool replicas, double share)
+void FaultScheduler::killNodes(TimePoint now, bool replicas, double probability)
 {
     for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-        if (m_nodes.isReplica(i) == replicas && m_nodes.idle(i) && chance(m_random, share)) {
-            m_nodes.kill(now, i, length());
+        if (m_nodes.isReplica(i) == replicas && m_nodes.canInjectFault(i) && chance(m_random, probability)) {
+            m_nodes.kill(now, i, randomDuration());
         }
     }
 }
 
 // One disk may be lost at a time, with the time that its successor needs to catch up: the others must have
 // been out of trouble for a while.
-void FaultSchedule::wipe(TimePoint now)
+void FaultScheduler::wipeReplica(TimePoint now)
 {
-    const std::optional<std::size_t> victim = idleNode(true);
+    const std::optional<std::size_t> victim = randomFaultableNode(true);
     if (!victim) {
         return;
     }
-    for (std::size_t i = 0; i < m_plan.replicas; ++i) {
-        if (i != *victim && m_trouble.near(now, m_plan.replica(i))) {
+    for (std::size_t i = 0; i < m_topology.replicas; ++i) {
+        if (i != *victim && m_faults.recentlyFaulty(now, m_topology.replica(i))) {
             return;
         }
     }
-    m_nodes.killAndWipe(now, *victim, length());
+    m_nodes.killAndWipeDisk(now, *victim, randomDuration());
 }
 
 } // namespace Robinrail::Soak
--- a/soak/fault_schedule.h
+++ b/soak/fault_schedule.h
@@ -11,37 +11,42 @@
 
 namespace Robinrail::Soak {
 
-class FaultSchedule
+class FaultScheduler
 {
 public:
-    FaultSchedule(const Plan &plan, NodeHerd &nodes, TargetFleet &targets, OperatorDesk &desk, const Trouble &trouble, std::uint64_t seed);
+    FaultScheduler(const Topology &topology,
+                   NodeSupervisor &nodes,
+                   TargetSimulator &targets,
+                   RoutingOperator &routingOperator,
+                   const FaultTracker &faults,
+                   std::uint64_t seed);
 
     // Begins what is due.
     void tick(TimePoint now);
 
-    std::size_t drawn() const;
+    std::size_t injectedFaults() const;
 
 private:
-    struct Kind {
+    struct FaultKind {
         int weight = 1;
-        std::function<void(TimePoint)> begin;
+        std::function<void(TimePoint)> inject;
     };
-    std::optional<std::size_t> idleNode(bool replica);
-    milliseconds length();
-    void onNode(TimePoint now, bool replica, void (NodeHerd::*trouble)(TimePoint, std::size_t, milliseconds));
-    void harmLinks(TimePoint now, LinkFault fault);
-    void killMany(TimePoint now, bool replicas, double share);
-    void wipe(TimePoint now);
-
-    Plan m_plan;
-    NodeHerd &m_nodes;
-    const Trouble &m_trouble;
+    std::optional<std::size_t> randomFaultableNode(bool replica);
+    milliseconds randomDuration();
+    void faultRandomNode(TimePoint now, bool replica, void (NodeSupervisor::*inject)(TimePoint, std::size_t, milliseconds));
+    void injectLinkFault(TimePoint now, LinkFault fault);
+    void killNodes(TimePoint now, bool replicas, double probability);
+    void wipeReplica(TimePoint now);
+
+    Topology m_topology;
+    NodeSupervisor &m_nodes;
+    const FaultTracker &m_faults;
     Random m_random;
-    std::vector<Kind> m_kinds;
-    std::discrete_distribution<std::size_t> m_weights;
-    TimePoint m_due;
-    std::size_t m_drawn = 0;
-    bool m_withRoute = false;
+    std::vector<FaultKind> m_faultKinds;
+    std::discrete_distribution<std::size_t> m_kindDistribution;
+    TimePoint m_nextFaultAt;
+    std::size_t m_injectedFaults = 0;
+    bool m_withChangingRoute = false;
 };
 
 } // namespace Robinrail::Soak
--- a/soak/main_soak.cpp
+++ b/soak/main_soak.cpp
@@ -38,34 +38,34 @@
 Ends with "seeds: N kept, N broken". Exit codes: 0 all promises kept, 1 some broken, 2 bad arguments.
 )";
 
-constexpr int ExitBroken = 1;
+constexpr int ExitViolations = 1;
 constexpr int ExitBadArguments = 2;
 
 // Loopback networks that runs may take; those below are used by the other tests.
 constexpr std::uint8_t FirstNetwork = 16;
 constexpr std::uint8_t LastNetwork = 254;
 
-std::uint8_t networkOfProcess()
+std::uint8_t networkForProcess()
 {
     return static_cast<std::uint8_t>(FirstNetwork + ::getpid() % (LastNetwork - FirstNetwork + 1));
 }
 
 // The largest number of an option, and the least.
 struct Range {
-    long least = 1;
-    long most = 1;
+    long min = 1;
+    long max = 1;
 };
 
-std::size_t numberOf(std::map<std::string, docopt::value> &arguments, const std::string &option, Range range)
+std::size_t parseNumber(std::map<std::string, docopt::value> &arguments, const std::string &option, Range range)
 {
     long number = 0;
     try {
         number = arguments[option].asLong();
     } catch (const std::exception &) {
-        number = range.least - 1;
+        number = range.min - 1;
     }
-    if (number < range.least || number > range.most) {
-        std::cerr << option << ": want a whole number from " << range.least << " to " << range.most << '\n';
+    if (number < range.min || number > range.max) {
+        std::cerr << option << ": want a whole number from " << range.min << " to " << range.max << '\n';
         std::exit(ExitBadArguments);
     }
     return static_cast<std::size_t>(number);
@@ -75,26 +75,26 @@
 
 int main(int argc, char **argv)
 {
-    constexpr long Many = 1'000'000'000;
+    constexpr long MaxNumber = 1'000'000'000;
     auto arguments = parseArguments(Usage, argc, argv);
     configureLog({});
     Soak::RunOptions options;
     options.programs = arguments["--programs"].asString();
-    options.troubleTime = Soak::seconds(numberOf(arguments, "--seconds", {1, Many}));
-    const auto network = static_cast<std::uint8_t>(numberOf(arguments, "--network", {0, LastNetwork}));
+    options.faultInjectionTime = Soak::seconds(parseNumber(arguments, "--seconds", {1, MaxNumber}));
+    const auto network = static_cast<std::uint8_t>(parseNumber(arguments, "--network", {0, LastNetwork}));
     boost::asio::io_context io;
-    const Soak::NetworkClaim claim(io, FirstNetwork, LastNetwork, network != 0 ? network : networkOfProcess());
-    if (claim.network() == 0 || (network != 0 && claim.network() != network)) {
+    const Soak::LoopbackNetworkLock networkLock(io, FirstNetwork, LastNetwork, network != 0 ? network : networkForProcess());
+    if (networkLock.network() == 0 || (network != 0 && networkLock.network() != network)) {
         std::cerr << "the loopback network is in use by another run\n";
         return ExitBadArguments;
     }
-    options.plan.network = claim.network();
-    options.plan.replicas = numberOf(arguments, "--replicas", {3, 9});
-    options.plan.balancers = numberOf(arguments, "--balancers", {1, 200});
-    options.plan.targets = numberOf(arguments, "--targets", {2, 200});
-    options.plan.callers = numberOf(arguments, "--callers", {1, 2000});
-    const std::size_t first = numberOf(arguments, "--seed", {1, Many});
-    const std::size_t seeds = numberOf(arguments, "--seeds", {1, Many});
+    options.topology.network = networkLock.network();
+    options.topology.replicas = parseNumber(arguments, "--replicas", {3, 9});
+    options.topology.balancers = parseNumber(arguments, "--balancers", {1, 200});
+    options.topology.targets = parseNumber(arguments, "--targets", {2, 200});
+    options.topology.callers = parseNumber(arguments, "--callers", {1, 2000});
+    const std::size_t first = parseNumber(arguments, "--seed", {1, MaxNumber});
+    const std::size_t seeds = parseNumber(arguments, "--seeds", {1, MaxNumber});
     std::size_t broken = 0;
     for (std::size_t seed = first; seed < first + seeds; ++seed) {
         options.seed = seed;
@@ -106,5 +106,5 @@
         }
     }
     std::cout << "seeds: " << seeds - broken << " kept, " << broken << " broken\n";
-    return broken == 0 ? 0 : ExitBroken;
+    return broken == 0 ? 0 : ExitViolations;
 }
--- a/soak/network_claim.h
+++ b/soak/network_claim.h
@@ -11,17 +11,17 @@
 
 namespace Robinrail::Soak {
 
-class NetworkClaim
+class LoopbackNetworkLock
 {
 public:
     // Takes the first free one of the networks from `first` to `last`, looking from `begin` on and around; 0 if none is free.
-    NetworkClaim(boost::asio::io_context &io, std::uint8_t first, std::uint8_t last, std::uint8_t begin)
-        : m_holder(io)
+    LoopbackNetworkLock(boost::asio::io_context &io, std::uint8_t first, std::uint8_t last, std::uint8_t start)
+        : m_acceptor(io)
     {
         const int networks = last - first + 1;
         for (int i = 0; i < networks && m_network == 0; ++i) {
-            const auto network = static_cast<std::uint8_t>(first + (begin - first + i) % networks);
-            if (hold(network)) {
+            const auto network = static_cast<std::uint8_t>(first + (start - first + i) % networks);
+            if (tryBind(network)) {
                 m_network = network;
             }
         }
@@ -34,24 +34,24 @@
 
 private:
     // Whoever listens at a network's own address has it; the kernel lets it go with the process.
-    bool hold(std::uint8_t network)
+    bool tryBind(std::uint8_t network)
     {
         using Tcp = boost::asio::ip::tcp;
         constexpr std::uint32_t Loopback = 0x7f000000;
-        const Tcp::endpoint place(boost::asio::ip::address_v4(Loopback | std::uint32_t{network} << 16U | 1U), Plan::ControlPort);
+        const Tcp::endpoint endpoint(boost::asio::ip::address_v4(Loopback | std::uint32_t{network} << 16U | 1U), Topology::ControlPort);
         boost::system::error_code error;
-        m_holder = Tcp::acceptor(m_holder.get_executor());
-        m_holder.open(Tcp::v4(), error);
+        m_acceptor = Tcp::acceptor(m_acceptor.get_executor());
+        m_acceptor.open(Tcp::v4(), error);
         if (!error) {
-            m_holder.bind(place, error);
+            m_acceptor.bind(endpoint, error);
         }
         if (!error) {
-            m_holder.listen(1, error);
+            m_acceptor.listen(1, error);
         }
         return !error;
     }
 
-    boost::asio::ip::tcp::acceptor m_holder;
+    boost::asio::ip::tcp::acceptor m_acceptor;
     std::uint8_t m_network = 0;
 };
 
--- a/soak/node_herd.cpp
+++ b/soak/node_herd.cpp
@@ -23,86 +23,87 @@
 namespace {
 
 // From the request to end to the kill, as small deployments set it, and what a busy machine may add.
-constexpr milliseconds Grace{6000};
-constexpr Duration EndSlack = seconds(3);
+constexpr milliseconds TerminationGrace{6000};
+constexpr Duration TerminationSlack = seconds(3);
 
 // Bytes of a record that a loss of power cut short.
-constexpr std::size_t TornBytes = 11;
+constexpr std::size_t TornRecordBytes = 11;
 
 // The disk refuses to work for so long after a restart.
-constexpr Duration StorageRefusal = seconds(2);
+constexpr Duration StorageFailureTime = seconds(2);
 
 constexpr int AnnounceIntervalMs = 770;
 
 // The file that names itself in place of a data folder, so that nothing can be opened in it.
-fs::path asidePath(const fs::path &data)
+fs::path displacedDataPath(const fs::path &data)
 {
     return data.string() + ".aside";
 }
 
 } // namespace
 
-NodeHerd::NodeHerd(boost::asio::io_context &io, const Plan &plan, Trouble &trouble, Promises &promises, const fs::path &programs, fs::path work)
-    : m_plan(plan)
-    , m_trouble(trouble)
-    , m_promises(promises)
+NodeSupervisor::NodeSupervisor(
+    boost::asio::io_context &io, const Topology &topology, FaultTracker &faults, Violations &violations, const fs::path &programs, fs::path work)
+    : m_topology(topology)
+    , m_faults(faults)
+    , m_violations(violations)
     , m_work(std::move(work))
 {
-    for (std::size_t i = 0; i < plan.replicas + plan.balancers; ++i) {
-        const bool replica = i < plan.replicas;
+    for (std::size_t i = 0; i < topology.replicas + topology.balancers; ++i) {
+        const bool replica = i < topology.replicas;
         Node node;
-        node.name = replica ? "replica-" + std::to_string(i) : "balancer-" + std::to_string(i - plan.replicas);
-        node.address = replica ? plan.replica(i) : plan.balancer(i - plan.replicas);
+        node.name = replica ? "replica-" + std::to_string(i) : "balancer-" + std::to_string(i - topology.replicas);
+        node.address = replica ? topology.replica(i) : topology.balancer(i - topology.replicas);
         node.program = programs / (replica ? "robinrail-platform-control" : "robinrail-platform-balancer");
         if (replica) {
             node.data = m_work / (node.name + ".data");
             fs::create_directories(node.data);
-            node.proxy = std::make_unique<FaultProxy>(io, Endpoint{node.address, Plan::LinkPort}, Endpoint{node.address, Plan::OwnLinkPort});
+            node.proxy = std::make_unique<FaultProxy>(io, Endpoint{node.address, Topology::LinkPort}, Endpoint{node.address, Topology::ReplicaLinkPort});
         }
         m_nodes.push_back(std::move(node));
     }
 }
 
-NodeHerd::~NodeHerd()
+NodeSupervisor::~NodeSupervisor()
 {
     for (Node &node : m_nodes) {
         if (node.child.valid()) {
-            endNow(node);
+            killProcess(node);
         }
     }
 }
 
 // ---- Processes ----
 
-void NodeHerd::writeSettings(const Node &node, bool firstStart) const
+void NodeSupervisor::writeSettings(const Node &node, bool firstStart) const
 {
     nlohmann::json seeds = nlohmann::json::array();
-    const std::size_t named = firstStart ? m_plan.replicas : m_plan.namedSeeds;
-    for (std::size_t i = 0; i < named; ++i) {
-        seeds.push_back(toText({m_plan.replica((node.firstSeed + i) % m_plan.replicas), Plan::ControlPort}));
+    const std::size_t seedNodeCount = firstStart ? m_topology.replicas : m_topology.seedNodes;
+    for (std::size_t i = 0; i < seedNodeCount; ++i) {
+        seeds.push_back(toText({m_topology.replica((node.firstSeedNode + i) % m_topology.replicas), Topology::ControlPort}));
     }
     const bool replica = !node.data.empty();
     nlohmann::json settings = {{"node", node.name},
                                {"dataCentre", DataCentres[node.address % DataCentres.size()]},
                                {"dataCentres", DataCentres},
                                {"seeds", seeds},
-                               {"linkPort", Plan::LinkPort},
+                               {"linkPort", Topology::LinkPort},
                                {"firstStart", firstStart},
                                {"announceIntervalMs", AnnounceIntervalMs},
-                               {"borneLosses", m_plan.replicas / 2},
-                               {"drainMs", std::chrono::duration_cast<milliseconds>(DrainTime).count()},
-                               {"graceMs", Grace.count()}};
-    settings["listen"]["admin"] = toText({node.address, replica ? Plan::ControlPort : Plan::ReadinessPort});
+                               {"borneLosses", m_topology.replicas / 2},
+                               {"drainMs", std::chrono::duration_cast<milliseconds>(DrainDeadline).count()},
+                               {"graceMs", TerminationGrace.count()}};
+    settings["listen"]["admin"] = toText({node.address, replica ? Topology::ControlPort : Topology::ReadinessPort});
     if (replica) {
-        settings["linkListenPort"] = Plan::OwnLinkPort;
+        settings["linkListenPort"] = Topology::ReplicaLinkPort;
         settings["dataFolder"] = node.data.string();
     } else {
-        settings["listen"]["packets"] = toText({node.address, Plan::PacketPort});
+        settings["listen"]["packets"] = toText({node.address, Topology::PacketPort});
     }
     std::ofstream(m_work / (node.name + ".json")) << settings.dump(4) << '\n';
 }
 
-void NodeHerd::start(TimePoint /*now*/, Node &node)
+void NodeSupervisor::start(TimePoint /*now*/, Node &node)
 {
     const fs::path log = m_work / (node.name + ".log");
     // Appended to: a node's runs follow each other in one log.
@@ -119,7 +120,7 @@
     LogLine(LogLevel::Info, "node-started").with("node", node.name).with("pid", node.child.id());
 }
 
-void NodeHerd::startAll(TimePoint now)
+void NodeSupervisor::startAll(TimePoint now)
 {
     for (Node &node : m_nodes) {
         writeSettings(node, true);
@@ -127,200 +128,200 @@
     }
 }
 
-void NodeHerd::signal(Node &node, int number)
+void NodeSupervisor::sendSignal(Node &node, int number)
 {
     ::kill(node.child.id(), number);
 }
 
-void NodeHerd::endNow(Node &node)
+void NodeSupervisor::killProcess(Node &node)
 {
     std::error_code ignored;
     node.child.terminate(ignored);
     node.child.wait(ignored);
 }
 
-std::size_t NodeHerd::size() const
+std::size_t NodeSupervisor::size() const
 {
     return m_nodes.size();
 }
 
-bool NodeHerd::isReplica(std::size_t node) const
+bool NodeSupervisor::isReplica(std::size_t node) const
 {
-    return node < m_plan.replicas;
+    return node < m_topology.replicas;
 }
 
-bool NodeHerd::idle(std::size_t node) const
+bool NodeSupervisor::canInjectFault(std::size_t node) const
 {
-    return m_nodes[node].state == State::Running && !m_nodes[node].storageBack;
+    return m_nodes[node].state == State::Running && !m_nodes[node].storageRestoreAt;
 }
 
-bool NodeHerd::calm() const
+bool NodeSupervisor::faultFree() const
 {
     return std::all_of(m_nodes.begin(), m_nodes.end(), [](const Node &node) {
-        return node.state == State::Running && !node.storageBack && !node.linksBack;
+        return node.state == State::Running && !node.storageRestoreAt && !node.linkFaultEndAt;
     });
 }
 
 // ---- Troubles ----
 
-void NodeHerd::kill(TimePoint now, std::size_t number, milliseconds length)
+void NodeSupervisor::kill(TimePoint now, std::size_t number, milliseconds duration)
 {
     Node &node = m_nodes[number];
-    LogLine(LogLevel::Info, "kill").with("node", node.name).with("for-ms", length.count());
+    LogLine(LogLevel::Info, "kill").with("node", node.name).with("for-ms", duration.count());
     writeSettings(node, false);
-    m_trouble.begin(now, node.address);
-    endNow(node);
+    m_faults.begin(now, node.address);
+    killProcess(node);
     node.state = State::Down;
-    node.due = now + length;
+    node.nextActionAt = now + duration;
 }
 
-void NodeHerd::terminate(TimePoint now, std::size_t number, milliseconds length)
+void NodeSupervisor::terminate(TimePoint now, std::size_t number, milliseconds duration)
 {
     Node &node = m_nodes[number];
-    LogLine(LogLevel::Info, "terminate").with("node", node.name).with("for-ms", length.count());
+    LogLine(LogLevel::Info, "terminate").with("node", node.name).with("for-ms", duration.count());
     writeSettings(node, false);
-    m_trouble.begin(now, node.address);
-    signal(node, SIGTERM);
-    node.state = State::Ending;
-    node.due = now + length;
-    node.endBy = now + Grace + EndSlack;
+    m_faults.begin(now, node.address);
+    sendSignal(node, SIGTERM);
+    node.state = State::Terminating;
+    node.nextActionAt = now + duration;
+    node.terminateDeadline = now + TerminationGrace + TerminationSlack;
 }
 
-void NodeHerd::pause(TimePoint now, std::size_t number, milliseconds length)
+void NodeSupervisor::pause(TimePoint now, std::size_t number, milliseconds duration)
 {
     Node &node = m_nodes[number];
-    LogLine(LogLevel::Info, "pause").with("node", node.name).with("for-ms", length.count());
-    m_trouble.begin(now, node.address);
-    signal(node, SIGSTOP);
+    LogLine(LogLevel::Info, "pause").with("node", node.name).with("for-ms", duration.count());
+    m_faults.begin(now, node.address);
+    sendSignal(node, SIGSTOP);
     node.state = State::Paused;
-    node.due = now + length;
+    node.nextActionAt = now + duration;
 }
 
-void NodeHerd::hangUp(std::size_t number)
+void NodeSupervisor::sendHangup(std::size_t number)
 {
     LogLine(LogLevel::Info, "hang-up").with("node", m_nodes[number].name);
-    signal(m_nodes[number], SIGHUP);
+    sendSignal(m_nodes[number], SIGHUP);
 }
 
-void NodeHerd::rewriteSeeds(std::size_t number, std::size_t first)
+void NodeSupervisor::rewriteSeedNodes(std::size_t number, std::size_t firstSeedNode)
 {
     LogLine(LogLevel::Info, "rewrite-seeds").with("node", m_nodes[number].name);
-    m_nodes[number].firstSeed = first;
+    m_nodes[number].firstSeedNode = firstSeedNode;
     writeSettings(m_nodes[number], false);
 }
 
-void NodeHerd::killAndWipe(TimePoint now, std::size_t replica, milliseconds length)
+void NodeSupervisor::killAndWipeDisk(TimePoint now, std::size_t replica, milliseconds duration)
 {
-    kill(now, replica, length);
+    kill(now, replica, duration);
     LogLine(LogLevel::Info, "wipe").with("node", m_nodes[replica].name);
     fs::remove_all(m_nodes[replica].data);
     fs::create_directories(m_nodes[replica].data);
 }
 
 // A record of which only the beginning reached the disk stands at the log's end.
-void NodeHerd::killAndTear(TimePoint now, std::size_t replica, milliseconds length)
+void NodeSupervisor::killAndTearLog(TimePoint now, std::size_t replica, milliseconds duration)
 {
-    kill(now, replica, length);
+    kill(now, replica, duration);
     const fs::path log = m_nodes[replica].data / "log";
     LogLine(LogLevel::Info, "tear").with("node", m_nodes[replica].name).with("there", fs::exists(log));
     if (fs::exists(log)) {
-        std::ofstream(log, std::ios::app | std::ios::binary) << std::string(TornBytes, '\x01');
+        std::ofstream(log, std::ios::app | std::ios::binary) << std::string(TornRecordBytes, '\x01');
     }
 }
 
-void NodeHerd::killAndRefuse(TimePoint now, std::size_t replica, milliseconds length)
+void NodeSupervisor::killAndFailStorage(TimePoint now, std::size_t replica, milliseconds duration)
 {
-    kill(now, replica, length);
+    kill(now, replica, duration);
     Node &node = m_nodes[replica];
     LogLine(LogLevel::Info, "refuse-storage").with("node", node.name);
-    fs::rename(node.data, asidePath(node.data));
+    fs::rename(node.data, displacedDataPath(node.data));
     std::ofstream(node.data) << "not a folder\n";
-    node.storageBack = node.due + StorageRefusal;
+    node.storageRestoreAt = node.nextActionAt + StorageFailureTime;
 }
 
-void NodeHerd::restoreStorage(Node &node)
+void NodeSupervisor::restoreStorage(Node &node)
 {
     fs::remove(node.data);
-    fs::rename(asidePath(node.data), node.data);
-    node.storageBack.reset();
+    fs::rename(displacedDataPath(node.data), node.data);
+    node.storageRestoreAt.reset();
 }
 
-void NodeHerd::harmLinks(TimePoint now, std::size_t replica, LinkFault fault, milliseconds delay, milliseconds length)
+void NodeSupervisor::injectLinkFault(TimePoint now, std::size_t replica, LinkFault fault, milliseconds delay, milliseconds duration)
 {
     Node &node = m_nodes[replica];
-    LogLine(LogLevel::Info, "harm-links").with("node", node.name).with("fault", static_cast<int>(fault)).with("for-ms", length.count());
-    if (!node.linksBack) {
-        m_trouble.begin(now, node.address);
+    LogLine(LogLevel::Info, "harm-links").with("node", node.name).with("fault", static_cast<int>(fault)).with("for-ms", duration.count());
+    if (!node.linkFaultEndAt) {
+        m_faults.begin(now, node.address);
     }
     node.proxy->setFault(fault, delay);
-    node.linksBack = now + length;
+    node.linkFaultEndAt = now + duration;
 }
 
-void NodeHerd::resetLinks(TimePoint now, std::size_t replica)
+void NodeSupervisor::resetConnections(TimePoint now, std::size_t replica)
 {
     LogLine(LogLevel::Info, "reset-links").with("node", m_nodes[replica].name);
-    m_trouble.begin(now, m_nodes[replica].address);
-    m_nodes[replica].proxy->resetAll();
-    m_trouble.settle(now, m_nodes[replica].address);
+    m_faults.begin(now, m_nodes[replica].address);
+    m_nodes[replica].proxy->resetConnections();
+    m_faults.end(now, m_nodes[replica].address);
 }
 
 // ---- Time ----
 
-void NodeHerd::tick(TimePoint now)
+void NodeSupervisor::tick(TimePoint now)
 {
     for (Node &node : m_nodes) {
         tickNode(now, node);
-        tickLinks(now, node);
+        tickLinkFault(now, node);
     }
 }
 
-void NodeHerd::tickNode(TimePoint now, Node &node)
+void NodeSupervisor::tickNode(TimePoint now, Node &node)
 {
     std::error_code ignored;
     const bool running = node.state != State::Down && node.child.running(ignored);
-    if (node.state == State::Ending && running && now >= node.endBy) {
-        m_promises.broken("a node ends when it is asked to", node.name);
-        endNow(node);
+    if (node.state == State::Terminating && running && now >= node.terminateDeadline) {
+        m_violations.report("a node ends when it is asked to", node.name);
+        killProcess(node);
     } else if ((node.state == State::Running || node.state == State::Paused) && !running) {
-        m_promises.broken("a node does not end by itself", node.name + " with " + std::to_string(node.child.exit_code()));
-        m_trouble.begin(now, node.address);
+        m_violations.report("a node does not end by itself", node.name + " with " + std::to_string(node.child.exit_code()));
+        m_faults.begin(now, node.address);
         node.state = State::Down;
-        node.due = now;
-    } else if (node.state == State::Ending && !running) {
+        node.nextActionAt = now;
+    } else if (node.state == State::Terminating && !running) {
         node.state = State::Down;
-    } else if (node.state == State::Down && now >= node.due) {
+    } else if (node.state == State::Down && now >= node.nextActionAt) {
         start(now, node);
-        m_trouble.settle(now, node.address);
-    } else if (node.state == State::Paused && now >= node.due) {
-        signal(node, SIGCONT);
+        m_faults.end(now, node.address);
+    } else if (node.state == State::Paused && now >= node.nextActionAt) {
+        sendSignal(node, SIGCONT);
         node.state = State::Running;
-        m_trouble.settle(now, node.address);
+        m_faults.end(now, node.address);
     }
-    if (node.storageBack && now >= *node.storageBack) {
-        m_trouble.begin(now, node.address);
+    if (node.storageRestoreAt && now >= *node.storageRestoreAt) {
+        m_faults.begin(now, node.address);
         restoreStorage(node);
-        m_trouble.settle(now, node.address);
+        m_faults.end(now, node.address);
     }
 }
 
-void NodeHerd::tickLinks(TimePoint now, Node &node)
+void NodeSupervisor::tickLinkFault(TimePoint now, Node &node)
 {
-    if (node.linksBack && now >= *node.linksBack) {
+    if (node.linkFaultEndAt && now >= *node.linkFaultEndAt) {
         node.proxy->setFault(LinkFault::None, milliseconds{0});
-        node.linksBack.reset();
-        m_trouble.settle(now, node.address);
+        node.linkFaultEndAt.reset();
+        m_faults.end(now, node.address);
     }
 }
 
-void NodeHerd::settleAll(TimePoint now)
+void NodeSupervisor::endAllFaults(TimePoint now)
 {
     for (Node &node : m_nodes) {
-        node.due = std::min(node.due, now);
-        if (node.storageBack) {
-            node.storageBack = now;
+        node.nextActionAt = std::min(node.nextActionAt, now);
+        if (node.storageRestoreAt) {
+            node.storageRestoreAt = now;
         }
-        if (node.linksBack) {
-            node.linksBack = now;
+        if (node.linkFaultEndAt) {
+            node.linkFaultEndAt = now;
         }
     }
 }
--- a/soak/node_herd.h
+++ b/soak/node_herd.h
@@ -13,15 +13,19 @@
 
 namespace Robinrail::Soak {
 
-class NodeHerd
+class NodeSupervisor
 {
 public:
     // Programs are taken from one folder; settings, logs and data go to another one.
-    NodeHerd(
-        boost::asio::io_context &io, const Plan &plan, Trouble &trouble, Promises &promises, const std::filesystem::path &programs, std::filesystem::path work);
-    ~NodeHerd();
-    NodeHerd(const NodeHerd &) = delete;
-    NodeHerd &operator=(const NodeHerd &) = delete;
+    NodeSupervisor(boost::asio::io_context &io,
+                   const Topology &topology,
+                   FaultTracker &faults,
+                   Violations &violations,
+                   const std::filesystem::path &programs,
+                   std::filesystem::path work);
+    ~NodeSupervisor();
+    NodeSupervisor(const NodeSupervisor &) = delete;
+    NodeSupervisor &operator=(const NodeSupervisor &) = delete;
 
     // Starts all for the first time.
     void startAll(TimePoint now);
@@ -31,36 +35,36 @@
     // Nodes are numbered from the replicas on: 0 is the first replica, plan.replicas the first balancer.
     std::size_t size() const;
     bool isReplica(std::size_t node) const;
-    bool idle(std::size_t node) const; // Runs, and nothing is being done to it.
+    bool canInjectFault(std::size_t node) const; // Runs, and nothing is being done to it.
 
     // What is done to a node, which must be idle. It runs again, or as before, after `length`.
-    void kill(TimePoint now, std::size_t node, milliseconds length);
-    void terminate(TimePoint now, std::size_t node, milliseconds length);
-    void pause(TimePoint now, std::size_t node, milliseconds length);
-    void hangUp(std::size_t node);
-    void rewriteSeeds(std::size_t node, std::size_t first);
+    void kill(TimePoint now, std::size_t node, milliseconds duration);
+    void terminate(TimePoint now, std::size_t node, milliseconds duration);
+    void pause(TimePoint now, std::size_t node, milliseconds duration);
+    void sendHangup(std::size_t node);
+    void rewriteSeedNodes(std::size_t node, std::size_t firstSeedNode);
 
     // The same, for replicas: the disk is lost, its last write is torn, or it refuses to work for a while
     // after the restart.
-    void killAndWipe(TimePoint now, std::size_t replica, milliseconds length);
-    void killAndTear(TimePoint now, std::size_t replica, milliseconds length);
-    void killAndRefuse(TimePoint now, std::size_t replica, milliseconds length);
+    void killAndWipeDisk(TimePoint now, std::size_t replica, milliseconds duration);
+    void killAndTearLog(TimePoint now, std::size_t replica, milliseconds duration);
+    void killAndFailStorage(TimePoint now, std::size_t replica, milliseconds duration);
 
     // Links of a replica misbehave for a while.
-    void harmLinks(TimePoint now, std::size_t replica, LinkFault fault, milliseconds delay, milliseconds length);
-    void resetLinks(TimePoint now, std::size_t replica);
+    void injectLinkFault(TimePoint now, std::size_t replica, LinkFault fault, milliseconds delay, milliseconds duration);
+    void resetConnections(TimePoint now, std::size_t replica);
 
     // Everything that was begun ends now.
-    void settleAll(TimePoint now);
+    void endAllFaults(TimePoint now);
 
     // Whether nothing is being done to any node.
-    bool calm() const;
+    bool faultFree() const;
 
 private:
     enum class State : std::uint8_t {
         Running,
         Down, // Killed; starts again when it is due.
-        Ending, // Asked to end.
+        Terminating, // Asked to end.
         Paused,
     };
     struct Node {
@@ -70,24 +74,24 @@
         std::filesystem::path data; // Of a replica.
         boost::process::child child;
         State state = State::Down;
-        TimePoint due; // Of the next start, or of the pause's end.
-        TimePoint endBy; // Of a node that was asked to end.
-        std::optional<TimePoint> storageBack; // The disk works again from then on.
+        TimePoint nextActionAt; // Of the next start, or of the pause's end.
+        TimePoint terminateDeadline; // Of a node that was asked to end.
+        std::optional<TimePoint> storageRestoreAt; // The disk works again from then on.
         std::unique_ptr<FaultProxy> proxy;
-        std::optional<TimePoint> linksBack;
-        std::size_t firstSeed = 0;
+        std::optional<TimePoint> linkFaultEndAt;
+        std::size_t firstSeedNode = 0;
     };
     void writeSettings(const Node &node, bool firstStart) const;
     void start(TimePoint now, Node &node);
-    void endNow(Node &node);
+    void killProcess(Node &node);
     void restoreStorage(Node &node);
-    void signal(Node &node, int number);
+    void sendSignal(Node &node, int number);
     void tickNode(TimePoint now, Node &node);
-    void tickLinks(TimePoint now, Node &node);
+    void tickLinkFault(TimePoint now, Node &node);
 
-    Plan m_plan;
-    Trouble &m_trouble;
-    Promises &m_promises;
+    Topology m_topology;
+    FaultTracker &m_faults;
+    Violations &m_violations;
     std::filesystem::path m_work;
     std::vector<Node> m_nodes;
 };
--- a/soak/operator_call.cpp
+++ b/soak/operator_call.cpp
@@ -9,18 +9,18 @@
 namespace {
 
 constexpr std::chrono::milliseconds CallTimeout{1000};
-constexpr int MaxHttpRedirects = 2;
+constexpr int MaxRedirects = 2;
 
 } // namespace
 
-void callReplica(boost::asio::io_context &io, Endpoint replica, const HttpRequest &request, const HttpDone &done, int redirects)
+void callLeader(boost::asio::io_context &io, Endpoint replica, const HttpRequest &request, const HttpDone &done, int redirects)
 {
     startHttpCall(io, replica, request, CallTimeout, [&io, request, redirects, done](const std::optional<HttpReply> &reply) {
         constexpr std::string_view Scheme = "http://";
-        if (reply && reply->status == TemporaryRedirect && redirects < MaxHttpRedirects && reply->location.starts_with(Scheme)) {
-            const std::string place = reply->location.substr(Scheme.size());
-            if (const std::optional<Endpoint> leader = parseEndpoint(place.substr(0, place.find('/')))) {
-                return callReplica(io, *leader, request, done, redirects + 1);
+        if (reply && reply->status == TemporaryRedirect && redirects < MaxRedirects && reply->location.starts_with(Scheme)) {
+            const std::string location = reply->location.substr(Scheme.size());
+            if (const std::optional<Endpoint> leader = parseEndpoint(location.substr(0, location.find('/')))) {
+                return callLeader(io, *leader, request, done, redirects + 1);
             }
         }
         done(reply);
--- a/soak/operator_call.h
+++ b/soak/operator_call.h
@@ -11,10 +11,10 @@
 inline constexpr unsigned TemporaryRedirect = 307;
 
 // A call without a clear answer is made again after a pause that doubles from the first to the longest.
-inline constexpr Duration FirstCallPause = std::chrono::milliseconds(50);
-inline constexpr Duration MaxCallPause = std::chrono::milliseconds(800);
+inline constexpr Duration FirstRetryDelay = std::chrono::milliseconds(50);
+inline constexpr Duration MaxRetryDelay = std::chrono::milliseconds(800);
 
 // Calls a replica, and the one that it redirects to, twice at most.
-void callReplica(boost::asio::io_context &io, Endpoint replica, const HttpRequest &request, const HttpDone &done, int redirects = 0);
+void callLeader(boost::asio::io_context &io, Endpoint replica, const HttpRequest &request, const HttpDone &done, int redirects = 0);
 
 } // namespace Robinrail::Soak
--- a/soak/operator_desk.cpp
+++ b/soak/operator_desk.cpp
@@ -12,33 +12,33 @@
 namespace {
 
 // Statuses that end a call at once, as the platform's operators take them.
-bool refuses(unsigned status)
+bool isRejection(unsigned status)
 {
     return status == 400 || status == 409 || status == 412 || status == 413 || status == 422;
 }
 
 // Between two changes drawn by lot, and between two reads.
-constexpr milliseconds MaxChangePause{900};
+constexpr milliseconds MaxChangeInterval{900};
 constexpr Duration ReadInterval = milliseconds(300);
 
 // Shares of changes that come as a pair, that are invalid, and that repeat an older document.
-constexpr double RaceShare = 0.2;
-constexpr double BadShare = 0.15;
-constexpr double OldShare = 0.1;
+constexpr double ConcurrentProbability = 0.2;
+constexpr double InvalidProbability = 0.15;
+constexpr double ResubmitProbability = 0.1;
 
 constexpr Duration IdleTimeout = seconds(15);
 
 } // namespace
 
-OperatorDesk::OperatorDesk(boost::asio::io_context &io, const Plan &plan, Promises &promises, std::uint64_t seed)
+RoutingOperator::RoutingOperator(boost::asio::io_context &io, const Topology &topology, Violations &violations, std::uint64_t seed)
     : m_io(io)
-    , m_plan(plan)
-    , m_promises(promises)
+    , m_topology(topology)
+    , m_violations(violations)
     , m_random(seed)
 {
 }
 
-RoutingTable OperatorDesk::tableOf(std::uint64_t version) const
+RoutingTable RoutingOperator::makeTable(std::uint64_t version) const
 {
     RoutingTable table;
     table.version = version;
@@ -51,36 +51,36 @@
     return table;
 }
 
-void OperatorDesk::add(TimePoint now, std::uint64_t version, std::string text, bool valid)
+void RoutingOperator::enqueue(TimePoint now, std::uint64_t version, std::string text, bool valid)
 {
-    const auto order = std::make_shared<Order>();
-    order->version = version;
-    order->text = std::move(text);
-    order->valid = valid;
-    order->replica = pick(m_random, m_plan.replicas);
-    order->due = now;
-    order->pause = FirstCallPause;
-    m_open.push_back(order);
+    const auto submission = std::make_shared<Submission>();
+    submission->version = version;
+    submission->text = std::move(text);
+    submission->valid = valid;
+    submission->replica = uniformIndex(m_random, m_topology.replicas);
+    submission->nextCallAt = now;
+    submission->retryDelay = FirstRetryDelay;
+    m_pending.push_back(submission);
 }
 
-void OperatorDesk::change(TimePoint now, bool withChangingRoute)
+void RoutingOperator::submitChange(TimePoint now, bool withChangingRoute)
 {
     m_changingRoute = withChangingRoute;
-    m_version += 1 + pick(m_random, 3);
-    m_sent[m_version] = Platform::writeDocument(tableOf(m_version));
+    m_lastVersion += 1 + uniformIndex(m_random, 3);
+    m_sentDocuments[m_lastVersion] = Platform::writeDocument(makeTable(m_lastVersion));
     if (withChangingRoute) {
-        m_withRoute.insert(m_version);
+        m_versionsWithRoute.insert(m_lastVersion);
     }
-    followRoute(now);
-    add(now, m_version, m_sent[m_version], true);
+    updateRouteRemoval(now);
+    enqueue(now, m_lastVersion, m_sentDocuments[m_lastVersion], true);
 }
 
 // A document that names an unknown service, has a route twice, or is cut short.
-void OperatorDesk::drawBad(TimePoint now)
+void RoutingOperator::submitInvalidDocument(TimePoint now)
 {
-    RoutingTable table = tableOf(m_version + 1);
+    RoutingTable table = makeTable(m_lastVersion + 1);
     std::string text = Platform::writeDocument(table);
-    switch (pick(m_random, 3)) {
+    switch (uniformIndex(m_random, 3)) {
     case 0:
         table.routes.push_back(table.routes.front());
         text = Platform::writeDocument(table);
@@ -91,126 +91,127 @@
     default:
         text.resize(text.size() / 2);
     }
-    add(now, 0, text, false);
+    enqueue(now, 0, text, false);
 }
 
-void OperatorDesk::drawChange(TimePoint now)
+void RoutingOperator::submitRandomChange(TimePoint now)
 {
-    m_changeDue = now + between(m_random, milliseconds(50), MaxChangePause);
-    if (chance(m_random, BadShare)) {
-        drawBad(now);
-    } else if (!m_sent.empty() && chance(m_random, OldShare)) {
-        const auto old = std::next(m_sent.begin(), static_cast<std::ptrdiff_t>(pick(m_random, m_sent.size())));
-        add(now, old->first, old->second, true);
+    m_nextChangeAt = now + uniformDuration(m_random, milliseconds(50), MaxChangeInterval);
+    if (chance(m_random, InvalidProbability)) {
+        submitInvalidDocument(now);
+    } else if (!m_sentDocuments.empty() && chance(m_random, ResubmitProbability)) {
+        const auto previous = std::next(m_sentDocuments.begin(), static_cast<std::ptrdiff_t>(uniformIndex(m_random, m_sentDocuments.size())));
+        enqueue(now, previous->first, previous->second, true);
     } else {
-        change(now, m_changingRoute);
-        if (chance(m_random, RaceShare)) {
-            change(now, m_changingRoute);
+        submitChange(now, m_changingRoute);
+        if (chance(m_random, ConcurrentProbability)) {
+            submitChange(now, m_changingRoute);
         }
     }
 }
 
-void OperatorDesk::tick(TimePoint now)
+void RoutingOperator::tick(TimePoint now)
 {
-    constexpr std::size_t MaxOpen = 8;
-    if (!m_finishing && now >= m_changeDue && m_open.size() < MaxOpen) {
-        drawChange(now);
+    constexpr std::size_t MaxPending = 8;
+    if (!m_finishing && now >= m_nextChangeAt && m_pending.size() < MaxPending) {
+        submitRandomChange(now);
     }
-    for (const std::shared_ptr<Order> &order : std::vector(m_open)) {
-        if (!order->calling && now >= order->due) {
-            order->calling = true;
-            const HttpRequest request{"PUT", Platform::documentPath(), {}, {}, order->text};
-            callReplica(m_io, {m_plan.replica(order->replica), Plan::ControlPort}, request, [this, order](const std::optional<HttpReply> &reply) {
-                answered(order, reply);
-            });
+    for (const std::shared_ptr<Submission> &submission : std::vector(m_pending)) {
+        if (!submission->callPending && now >= submission->nextCallAt) {
+            submission->callPending = true;
+            const HttpRequest request{"PUT", Platform::documentPath(), {}, {}, submission->text};
+            callLeader(
+                m_io, {m_topology.replica(submission->replica), Topology::ControlPort}, request, [this, submission](const std::optional<HttpReply> &reply) {
+                    handleReply(submission, reply);
+                });
         }
     }
-    if (now >= m_readDue) {
-        m_readDue = now + ReadInterval;
-        read(now);
+    if (now >= m_nextReadAt) {
+        m_nextReadAt = now + ReadInterval;
+        requestRead(now);
     }
 }
 
-void OperatorDesk::answered(const std::shared_ptr<Order> &order, const std::optional<HttpReply> &reply)
+void RoutingOperator::handleReply(const std::shared_ptr<Submission> &submission, const std::optional<HttpReply> &reply)
 {
     const TimePoint now = monotonicNow();
-    const bool taken = reply && reply->status == Ok;
-    if (taken && !order->valid) {
-        m_promises.broken("an invalid document is refused", order->text.substr(0, 200));
-    } else if (taken) {
-        m_acknowledged = std::max(m_acknowledged, order->version);
-        followRoute(now);
-    } else if (reply && refuses(reply->status) && order->valid) {
-        m_promises.broken("a valid document is taken", std::to_string(order->version) + ": " + reply->body);
+    const bool accepted = reply && reply->status == Ok;
+    if (accepted && !submission->valid) {
+        m_violations.report("an invalid document is refused", submission->text.substr(0, 200));
+    } else if (accepted) {
+        m_acknowledged = std::max(m_acknowledged, submission->version);
+        updateRouteRemoval(now);
+    } else if (reply && isRejection(reply->status) && submission->valid) {
+        m_violations.report("a valid document is taken", std::to_string(submission->version) + ": " + reply->body);
     }
-    if (taken || (reply && refuses(reply->status))) {
-        std::erase(m_open, order);
+    if (accepted || (reply && isRejection(reply->status))) {
+        std::erase(m_pending, submission);
         return;
     }
-    order->calling = false;
-    order->replica = (order->replica + 1) % m_plan.replicas;
-    order->due = now + order->pause;
-    order->pause = std::min(order->pause * 2, MaxCallPause);
+    submission->callPending = false;
+    submission->replica = (submission->replica + 1) % m_topology.replicas;
+    submission->nextCallAt = now + submission->retryDelay;
+    submission->retryDelay = std::min(submission->retryDelay * 2, MaxRetryDelay);
 }
 
 // ---- Reading back ----
 
-void OperatorDesk::read(TimePoint /*now*/)
+void RoutingOperator::requestRead(TimePoint /*now*/)
 {
-    const std::uint64_t floor = std::max(m_acknowledged, m_seen);
-    const bool last = m_finishing && m_open.empty();
-    const Endpoint replica{m_plan.replica(pick(m_random, m_plan.replicas)), Plan::ControlPort};
-    callReplica(m_io, replica, {"GET", Platform::documentPath(), {}, {}, {}}, [this, floor, last](const std::optional<HttpReply> &reply) {
+    const std::uint64_t minVersion = std::max(m_acknowledged, m_highestRead);
+    const bool isFinalRead = m_finishing && m_pending.empty();
+    const Endpoint replica{m_topology.replica(uniformIndex(m_random, m_topology.replicas)), Topology::ControlPort};
+    callLeader(m_io, replica, {"GET", Platform::documentPath(), {}, {}, {}}, [this, minVersion, isFinalRead](const std::optional<HttpReply> &reply) {
         if (reply && reply->status == Ok) {
-            readBack(floor, last, *reply);
+            checkRead(minVersion, isFinalRead, *reply);
         }
     });
 }
 
-void OperatorDesk::readBack(std::uint64_t floor, bool last, const HttpReply &reply)
+void RoutingOperator::checkRead(std::uint64_t minVersion, bool isFinalRead, const HttpReply &reply)
 {
     ++m_reads;
     const nlohmann::json document = nlohmann::json::parse(reply.body, nullptr, false);
     const std::uint64_t version = document.is_object() ? document.value("version", std::uint64_t{0}) : 0;
-    m_seen = std::max(m_seen, version);
-    if (version < floor) {
-        m_promises.broken("a read gives the newest document", "version " + std::to_string(version) + ", known " + std::to_string(floor));
+    m_highestRead = std::max(m_highestRead, version);
+    if (version < minVersion) {
+        m_violations.report("a read gives the newest document", "version " + std::to_string(version) + ", known " + std::to_string(minVersion));
     }
-    const auto sent = m_sent.find(version);
-    if (version != 0 && (sent == m_sent.end() || sent->second != reply.body)) {
-        m_promises.broken("a document is read as it was sent", "version " + std::to_string(version));
+    const auto sent = m_sentDocuments.find(version);
+    if (version != 0 && (sent == m_sentDocuments.end() || sent->second != reply.body)) {
+        m_violations.report("a document is read as it was sent", "version " + std::to_string(version));
     }
-    m_settled = m_settled || (last && version >= m_acknowledged);
+    m_finalReadSucceeded = m_finalReadSucceeded || (isFinalRead && version >= m_acknowledged);
 }
 
-void OperatorDesk::finish()
+void RoutingOperator::finish()
 {
     m_finishing = true;
-    m_settled = false;
+    m_finalReadSucceeded = false;
 }
 
-bool OperatorDesk::settled() const
+bool RoutingOperator::finalReadSucceeded() const
 {
-    return m_settled;
+    return m_finalReadSucceeded;
 }
 
-void OperatorDesk::followRoute(TimePoint now)
+void RoutingOperator::updateRouteRemoval(TimePoint now)
 {
-    const bool gone = m_acknowledged > 0 && m_withRoute.lower_bound(m_acknowledged) == m_withRoute.end();
-    m_routeGone = gone ? std::optional(m_routeGone.value_or(now)) : std::nullopt;
+    const bool removed = m_acknowledged > 0 && m_versionsWithRoute.lower_bound(m_acknowledged) == m_versionsWithRoute.end();
+    m_routeRemovedSince = removed ? std::optional(m_routeRemovedSince.value_or(now)) : std::nullopt;
 }
 
-std::optional<TimePoint> OperatorDesk::routeGoneSince() const
+std::optional<TimePoint> RoutingOperator::routeRemovedSince() const
 {
-    return m_routeGone;
+    return m_routeRemovedSince;
 }
 
-std::uint64_t OperatorDesk::acknowledged() const
+std::uint64_t RoutingOperator::acknowledged() const
 {
     return m_acknowledged;
 }
 
-std::size_t OperatorDesk::reads() const
+std::size_t RoutingOperator::reads() const
 {
     return m_reads;
 }
--- a/soak/replica_watch.cpp
+++ b/soak/replica_watch.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr Duration AskInterval = milliseconds(250);
-constexpr milliseconds AskTimeout{1000};
+constexpr Duration QueryInterval = milliseconds(250);
+constexpr milliseconds QueryTimeout{1000};
 
 } // namespace
 
-std::optional<std::uint64_t> routingVersionOf(std::string_view metrics)
+std::optional<std::uint64_t> parseRoutingVersion(std::string_view metrics)
 {
     constexpr std::string_view Name = "\nrobinrail_routing_version ";
     const std::size_t at = metrics.find(Name);
@@ -28,71 +28,75 @@
     return read.ec == std::errc() ? std::optional(version) : std::nullopt;
 }
 
-void AcknowledgedVersions::note(TimePoint now, std::uint64_t acknowledged)
+void AcknowledgedVersions::record(TimePoint now, std::uint64_t acknowledged)
 {
-    if (acknowledged > (m_recent.empty() ? m_due : m_recent.back().version)) {
+    if (acknowledged > (m_recent.empty() ? m_requiredVersion : m_recent.back().version)) {
         m_recent.push_back({now, acknowledged});
     }
 }
 
-std::uint64_t AcknowledgedVersions::due(TimePoint now)
+std::uint64_t AcknowledgedVersions::requiredVersion(TimePoint now)
 {
-    while (!m_recent.empty() && now - m_recent.front().at >= ApplyTime) {
-        m_due = m_recent.front().version;
+    while (!m_recent.empty() && now - m_recent.front().at >= ApplyDeadline) {
+        m_requiredVersion = m_recent.front().version;
         m_recent.pop_front();
     }
-    return m_due;
+    return m_requiredVersion;
 }
 
-ReplicaWatch::ReplicaWatch(boost::asio::io_context &io, const Plan &plan, const Trouble &trouble, Promises &promises)
+ReplicaVersionChecker::ReplicaVersionChecker(boost::asio::io_context &io, const Topology &topology, const FaultTracker &faults, Violations &violations)
     : m_io(io)
-    , m_plan(plan)
-    , m_trouble(trouble)
-    , m_promises(promises)
+    , m_topology(topology)
+    , m_faults(faults)
+    , m_violations(violations)
 {
 }
 
-void ReplicaWatch::tick(TimePoint now, std::uint64_t acknowledged)
+void ReplicaVersionChecker::tick(TimePoint now, std::uint64_t acknowledged)
 {
-    m_versions.note(now, acknowledged);
-    if (now < m_askDue) {
+    m_versions.record(now, acknowledged);
+    if (now < m_nextQueryAt) {
         return;
     }
-    m_askDue = now + AskInterval;
-    for (std::size_t replica = 0; replica < m_plan.replicas; ++replica) {
-        ask(now, replica);
+    m_nextQueryAt = now + QueryInterval;
+    for (std::size_t replica = 0; replica < m_topology.replicas; ++replica) {
+        queryReplica(now, replica);
     }
 }
 
-void ReplicaWatch::ask(TimePoint now, std::size_t replica)
+void ReplicaVersionChecker::queryReplica(TimePoint now, std::size_t replica)
 {
     const HttpRequest request{"GET", "/metrics", {}, {}, {}};
-    const std::uint64_t due = m_versions.due(now);
-    startHttpCall(m_io, {m_plan.replica(replica), Plan::ControlPort}, request, AskTimeout, [this, now, replica, due](const std::optional<HttpReply> &reply) {
-        if (const auto held = reply ? routingVersionOf(reply->body) : std::nullopt) {
-            judge(now, replica, due, *held);
-        }
-    });
+    const std::uint64_t requiredVersion = m_versions.requiredVersion(now);
+    startHttpCall(m_io,
+                  {m_topology.replica(replica), Topology::ControlPort},
+                  request,
+                  QueryTimeout,
+                  [this, now, replica, requiredVersion](const std::optional<HttpReply> &reply) {
+                      if (const auto version = reply ? parseRoutingVersion(reply->body) : std::nullopt) {
+                          checkVersion(now, replica, requiredVersion, *version);
+                      }
+                  });
 }
 
 // Asked only of a replica that was out of trouble for the contact time, and while the others have had a quorum as long.
-void ReplicaWatch::judge(TimePoint asked, std::size_t replica, std::uint64_t due, std::uint64_t held)
+void ReplicaVersionChecker::checkVersion(TimePoint queriedAt, std::size_t replica, std::uint64_t requiredVersion, std::uint64_t version)
 {
     const TimePoint now = monotonicNow();
-    const std::uint32_t address = m_plan.replica(replica);
-    if (m_trouble.near(asked, address) || m_trouble.near(now, address) || !m_trouble.controlCalm(asked, m_plan)) {
+    const std::uint32_t address = m_topology.replica(replica);
+    if (m_faults.recentlyFaulty(queriedAt, address) || m_faults.recentlyFaulty(now, address) || !m_faults.replicaQuorumHealthy(queriedAt, m_topology)) {
         return;
     }
-    ++m_judged;
-    if (held < due) {
-        m_promises.broken("a replica holds what was acknowledged",
-                          "replica " + std::to_string(replica) + " holds " + std::to_string(held) + " of " + std::to_string(due));
+    ++m_checkedAnswers;
+    if (version < requiredVersion) {
+        m_violations.report("a replica holds what was acknowledged",
+                            "replica " + std::to_string(replica) + " holds " + std::to_string(version) + " of " + std::to_string(requiredVersion));
     }
 }
 
-std::size_t ReplicaWatch::judged() const
+std::size_t ReplicaVersionChecker::checkedAnswers() const
 {
-    return m_judged;
+    return m_checkedAnswers;
 }
 
 } // namespace Robinrail::Soak
--- a/soak/replica_watch.h
+++ b/soak/replica_watch.h
@@ -11,14 +11,14 @@
 namespace Robinrail::Soak {
 
 // The routing version that a replica's metrics show; empty if they show none.
-std::optional<std::uint64_t> routingVersionOf(std::string_view metrics);
+std::optional<std::uint64_t> parseRoutingVersion(std::string_view metrics);
 
-// The highest version that each replica must hold by now: what was acknowledged ApplyTime ago.
+// The highest version that each replica must hold by now: what was acknowledged ApplyDeadline ago.
 class AcknowledgedVersions
 {
 public:
-    void note(TimePoint now, std::uint64_t acknowledged);
-    std::uint64_t due(TimePoint now);
+    void record(TimePoint now, std::uint64_t acknowledged);
+    std::uint64_t requiredVersion(TimePoint now);
 
 private:
     struct Acknowledged {
@@ -26,31 +26,31 @@
         std::uint64_t version = 0;
     };
     std::deque<Acknowledged> m_recent; // Oldest first.
-    std::uint64_t m_due = 0;
+    std::uint64_t m_requiredVersion = 0;
 };
 
-class ReplicaWatch
+class ReplicaVersionChecker
 {
 public:
-    ReplicaWatch(boost::asio::io_context &io, const Plan &plan, const Trouble &trouble, Promises &promises);
+    ReplicaVersionChecker(boost::asio::io_context &io, const Topology &topology, const FaultTracker &faults, Violations &violations);
 
     // `acknowledged`: the highest version that an operator was told of.
     void tick(TimePoint now, std::uint64_t acknowledged);
 
     // Answers that were judged.
-    std::size_t judged() const;
+    std::size_t checkedAnswers() const;
 
 private:
-    void ask(TimePoint now, std::size_t replica);
-    void judge(TimePoint asked, std::size_t replica, std::uint64_t due, std::uint64_t held);
+    void queryReplica(TimePoint now, std::size_t replica);
+    void checkVersion(TimePoint queriedAt, std::size_t replica, std::uint64_t requiredVersion, std::uint64_t version);
 
     boost::asio::io_context &m_io;
-    Plan m_plan;
-    const Trouble &m_trouble;
-    Promises &m_promises;
+    Topology m_topology;
+    const FaultTracker &m_faults;
+    Violations &m_violations;
     AcknowledgedVersions m_versions;
-    TimePoint m_askDue;
-    std::size_t m_judged = 0;
+    TimePoint m_nextQueryAt;
+    std::size_t m_checkedAnswers = 0;
 };
 
 } // namespace Robinrail::Soak
--- a/soak/soak_run.cpp
+++ b/soak/soak_run.cpp
@@ -18,26 +18,26 @@
 namespace {
 
 // All balancers must be ready for the first time within this.
-constexpr Duration StartTime = seconds(20);
+constexpr Duration StartDeadline = seconds(20);
 
 // Once the troubles are over, this share of requests must be answered again.
-constexpr double ServedAgain = 0.97;
+constexpr double MinRecoveredSuccessRate = 0.97;
 
 // The last phase: long enough for a change to be in force, a read to be sure, and a flow to be refused.
-constexpr Duration LastPhaseTime = RecoveryTime + ContactTime;
+constexpr Duration FinalChangeDeadline = RecoveryDeadline + FaultGracePeriod;
 
 // Each part of a run draws from a stream of its own, so that one more draw in one changes no other.
-std::uint64_t streamOf(std::uint64_t seed, std::uint64_t part)
+std::uint64_t randomStream(std::uint64_t seed, std::uint64_t part)
 {
     constexpr std::uint64_t Streams = 16;
     return seed * Streams + part;
 }
 
 // Later seeds tell a node that starts again of a majority of the replicas only.
-RunOptions withSeeds(RunOptions options)
+RunOptions withSeedNodes(RunOptions options)
 {
-    const std::size_t all = options.plan.replicas;
-    options.plan.namedSeeds = options.seed >= FirstSeedWithFewSeeds ? all / 2 + 1 : all;
+    const std::size_t replicas = options.topology.replicas;
+    options.topology.seedNodes = options.seed >= FirstRunWithPartialSeedNodes ? replicas / 2 + 1 : replicas;
     return options;
 }
 
@@ -45,15 +45,15 @@
 {
 public:
     explicit SoakRun(const RunOptions &options)
-        : m_options(withSeeds(options))
-        , m_nodes(m_io, m_options.plan, m_trouble, m_promises, options.programs, options.work)
-        , m_targets(m_io, options.plan, m_trouble, m_promises, streamOf(options.seed, 1))
-        , m_callers(m_io, options.plan, m_targets, m_promises, streamOf(options.seed, 2))
-        , m_desk(m_io, options.plan, m_promises, streamOf(options.seed, 4))
-        , m_drains(m_io, options.plan, m_promises, streamOf(options.seed, 6))
-        , m_replicas(m_io, options.plan, m_trouble, m_promises)
-        , m_restarts(streamOf(options.seed, 7))
-        , m_schedule(options.plan, m_nodes, m_targets, m_desk, m_trouble, streamOf(options.seed, 5))
+        : m_options(withSeedNodes(options))
+        , m_nodes(m_io, m_options.topology, m_faults, m_violations, options.programs, options.work)
+        , m_targets(m_io, options.topology, m_faults, m_violations, randomStream(options.seed, 1))
+        , m_callers(m_io, options.topology, m_targets, m_violations, randomStream(options.seed, 2))
+        , m_routingOperator(m_io, options.topology, m_violations, randomStream(options.seed, 4))
+        , m_drainOperator(m_io, options.topology, m_violations, randomStream(options.seed, 6))
+        , m_replicaVersions(m_io, options.topology, m_faults, m_violations)
+        , m_restartRandom(randomStream(options.seed, 7))
+        , m_faultScheduler(options.topology, m_nodes, m_targets, m_routingOperator, m_faults, randomStream(options.seed, 5))
         , m_timer(m_io)
     {
     }
@@ -61,37 +61,37 @@
     bool run()
     {
         m_nodes.startAll(monotonicNow());
-        enter(Phase::Starting, StartTime);
+        enter(Phase::Starting, StartDeadline);
         tick();
         m_io.run();
         LogLine(LogLevel::Info, "seed-ended")
             .with("seed", m_options.seed)
-            .with("served", m_callers.served())
-            .with("failed", m_callers.failed())
-            .with("runs", m_targets.runs())
-            .with("troubles", m_schedule.drawn())
-            .with("version", m_desk.acknowledged())
-            .with("reads", m_desk.reads())
-            .with("drain-orders", m_drains.taken())
-            .with("versions-judged", m_replicas.judged())
-            .with("broken", m_promises.count());
-        return m_promises.count() == 0;
+            .with("served", m_callers.completedRequests())
+            .with("failed", m_callers.failedRequests())
+            .with("runs", m_targets.executedRequests())
+            .with("troubles", m_faultScheduler.injectedFaults())
+            .with("version", m_routingOperator.acknowledged())
+            .with("reads", m_routingOperator.reads())
+            .with("drain-orders", m_drainOperator.acceptedCommands())
+            .with("versions-judged", m_replicaVersions.checkedAnswers())
+            .with("broken", m_violations.count());
+        return m_violations.count() == 0;
     }
 
 private:
     enum class Phase : std::uint8_t {
         Starting, // Until all balancers are ready and callers are served.
-        Troubled,
+        InjectingFaults,
         Recovering, // Until callers are served again.
-        Settling, // Until the last change is in force and read back.
+        VerifyingFinalChange, // Until the last change is in force and read back.
         Ended,
     };
 
-    void enter(Phase phase, Duration limit)
+    void enter(Phase phase, Duration timeLimit)
     {
         m_phase = phase;
-        m_phaseEnd = monotonicNow() + limit;
-        LogLine(LogLevel::Info, "phase").with("number", static_cast<int>(phase)).with("served", m_callers.served());
+        m_phaseDeadline = monotonicNow() + timeLimit;
+        LogLine(LogLevel::Info, "phase").with("number", static_cast<int>(phase)).with("served", m_callers.completedRequests());
     }
 
     void tick()
@@ -99,23 +99,23 @@
         const TimePoint now = monotonicNow();
         m_nodes.tick(now);
         m_targets.tick(now);
-        m_desk.tick(now);
-        m_replicas.tick(now, m_desk.acknowledged());
-        m_targets.setRouteGone(m_desk.routeGoneSince());
-        if (withDrains() && m_phase != Phase::Starting) {
-            m_drains.tick(now);
-            m_targets.setDrained(m_drains.drainedSince());
+        m_routingOperator.tick(now);
+        m_replicaVersions.tick(now, m_routingOperator.acknowledged());
+        m_targets.setRouteRemovedSince(m_routingOperator.routeRemovedSince());
+        if (drainsEnabled() && m_phase != Phase::Starting) {
+            m_drainOperator.tick(now);
+            m_targets.setDrainedSince(m_drainOperator.drainedSince());
         }
-        if (m_phase != Phase::Starting || m_callers.fabric().readyCount() == m_options.plan.balancers) {
+        if (m_phase != Phase::Starting || m_callers.fabric().readyBalancers() == m_options.topology.balancers) {
             m_callers.tick(now);
         } else {
             m_callers.fabric().tick(now);
         }
-        follow(now);
+        advancePhase(now);
         if (m_phase == Phase::Ended) {
             return m_io.stop();
         }
-        m_timer.expires_after(StandinTick);
+        m_timer.expires_after(TickInterval);
         m_timer.async_wait([this](const boost::system::error_code &error) {
             if (!error) {
                 tick();
@@ -123,80 +123,80 @@
         });
     }
 
-    bool withDrains() const
+    bool drainsEnabled() const
     {
-        return m_options.seed >= FirstSeedWithDrains;
+        return m_options.seed >= FirstRunWithDrains;
     }
 
     void restartTargets(TimePoint now)
     {
-        constexpr milliseconds MinPause{400};
-        constexpr milliseconds MaxPause{4000};
-        constexpr milliseconds RestartTime{300};
-        if (withDrains() && now >= m_restartDue) {
-            m_restartDue = now + between(m_restarts, MinPause, MaxPause);
-            m_targets.restart(now, RestartTime);
+        constexpr milliseconds MinInterval{400};
+        constexpr milliseconds MaxInterval{4000};
+        constexpr milliseconds Downtime{300};
+        if (drainsEnabled() && now >= m_nextRestartAt) {
+            m_nextRestartAt = now + uniformDuration(m_restartRandom, MinInterval, MaxInterval);
+            m_targets.restart(now, Downtime);
         }
     }
 
-    void follow(TimePoint now)
+    void advancePhase(TimePoint now)
     {
-        const bool late = now >= m_phaseEnd;
+        const bool expired = now >= m_phaseDeadline;
         switch (m_phase) {
         case Phase::Starting:
-            if (m_callers.served() > 0) {
-                return enter(Phase::Troubled, m_options.troubleTime);
+            if (m_callers.completedRequests() > 0) {
+                return enter(Phase::InjectingFaults, m_options.faultInjectionTime);
             }
             break;
-        case Phase::Troubled:
-            m_schedule.tick(now);
+        case Phase::InjectingFaults:
+            m_faultScheduler.tick(now);
             restartTargets(now);
-            if (late) {
-                m_nodes.settleAll(now);
-                m_drains.finish();
-                enter(Phase::Recovering, RecoveryTime);
+            if (expired) {
+                m_nodes.endAllFaults(now);
+                m_drainOperator.finish();
+                enter(Phase::Recovering, RecoveryDeadline);
             }
             return;
         case Phase::Recovering:
-            if (m_nodes.calm() && m_callers.servedOfLate(now) >= ServedAgain) {
-                m_desk.finish();
-                m_desk.change(now, true);
-                m_servedBefore = m_callers.servedOnChangingRoute();
-                return enter(Phase::Settling, LastPhaseTime);
+            if (m_nodes.faultFree() && m_callers.recentSuccessRate(now) >= MinRecoveredSuccessRate) {
+                m_routingOperator.finish();
+                m_routingOperator.submitChange(now, true);
+                m_completedBeforeChange = m_callers.completedOnChangingRoute();
+                return enter(Phase::VerifyingFinalChange, FinalChangeDeadline);
             }
             break;
-        case Phase::Settling:
-            if (m_desk.settled() && m_drains.settled() && m_callers.servedOnChangingRoute() > m_servedBefore) {
+        case Phase::VerifyingFinalChange:
+            if (m_routingOperator.finalReadSucceeded() && m_drainOperator.idle() && m_callers.completedOnChangingRoute() > m_completedBeforeChange) {
                 return enter(Phase::Ended, Duration{0});
             }
             break;
         case Phase::Ended:
             return;
         }
-        if (late) {
-            const char *const promise = m_phase == Phase::Settling ? "the newest change is in force and read back" : "service is back in time";
-            m_promises.broken(promise, "served of late " + std::to_string(m_callers.servedOfLate(now)));
+        if (expired) {
+            const char *const invariant = m_phase == Phase::VerifyingFinalChange ? "the newest change is in force and read back" : "service is back in time";
+            m_violations.report(invariant, "served of late " + std::to_string(m_callers.recentSuccessRate(now)));
             enter(Phase::Ended, Duration{0});
         }
     }
 
     RunOptions m_options;
     boost::asio::io_context m_io;
-    Promises m_promises;
-    Trouble m_trouble;
-    NodeHerd m_nodes;
-    TargetFleet m_targets;
-    CallerCrowd m_callers;
-    OperatorDesk m_desk;
-    DrainOrders m_drains;
-    ReplicaWatch m_replicas;
-    Random m_restarts; // Of targets, under their keys.
-    TimePoint m_restartDue;
-    FaultSchedule m_schedule;
+    Violations m_violations;
+    FaultTracker m_faults;
+    NodeSupervisor m_nodes;
+    TargetSimulator m_targets;
+    CallerSimulator m_callers;
+    RoutingOperator m_routingOperator;
+    DrainOperator m_drainOperator;
+    ReplicaVersionChecker m_replicaVersions;
+    Random m_restartRandom; // Of targets, under their keys.
+    TimePoint m_nextRestartAt;
+    FaultScheduler m_faultScheduler;
     boost::asio::steady_timer m_timer;
     Phase m_phase = Phase::Starting;
-    TimePoint m_phaseEnd;
-    std::size_t m_servedBefore = 0;
+    TimePoint m_phaseDeadline;
+    std::size_t m_completedBeforeChange = 0;
 };
 
 } // namespace
--- a/soak/soak_run.h
+++ b/soak/soak_run.h
@@ -9,9 +9,9 @@
 namespace Robinrail::Soak {
 
 struct RunOptions {
-    Plan plan;
+    Topology topology;
     std::uint64_t seed = 1;
-    seconds troubleTime{20}; // Troubles begin for so long.
+    seconds faultInjectionTime{20}; // Troubles begin for so long.
     std::filesystem::path programs; // Folder of the real programs.
     std::filesystem::path work; // Settings, logs and data of this run.
 };
--- a/soak/soak_types.cpp
+++ b/soak/soak_types.cpp
@@ -8,43 +8,43 @@
 
 namespace Robinrail::Soak {
 
-void Promises::broken(std::string_view promise, const std::string &detail)
+void Violations::report(std::string_view invariant, const std::string &detail)
 {
     ++m_count;
-    LogLine(LogLevel::Error, "promise-broken").with("promise", promise).with("detail", detail);
+    LogLine(LogLevel::Error, "promise-broken").with("promise", invariant).with("detail", detail);
 }
 
-std::size_t Promises::count() const
+std::size_t Violations::count() const
 {
     return m_count;
 }
 
-void Trouble::begin(TimePoint /*now*/, std::uint32_t address)
+void FaultTracker::begin(TimePoint /*now*/, std::uint32_t address)
 {
-    ++m_nodes[address].open;
+    ++m_nodeFaults[address].active;
 }
 
-void Trouble::settle(TimePoint now, std::uint32_t address)
+void FaultTracker::end(TimePoint now, std::uint32_t address)
 {
-    Span &span = m_nodes[address];
-    assert(span.open > 0);
-    --span.open;
-    span.ended = now;
+    NodeFaults &node = m_nodeFaults[address];
+    assert(node.active > 0);
+    --node.active;
+    node.lastEnd = now;
 }
 
-bool Trouble::near(TimePoint now, std::uint32_t address) const
+bool FaultTracker::recentlyFaulty(TimePoint now, std::uint32_t address) const
 {
-    const auto at = m_nodes.find(address);
-    return at != m_nodes.end() && (at->second.open > 0 || now - at->second.ended < ContactTime);
+    const auto at = m_nodeFaults.find(address);
+    return at != m_nodeFaults.end() && (at->second.active > 0 || now - at->second.lastEnd < FaultGracePeriod);
 }
 
-bool Trouble::controlCalm(TimePoint now, const Plan &plan) const
+bool FaultTracker::replicaQuorumHealthy(TimePoint now, const Topology &topology) const
 {
-    std::size_t troubled = 0;
-    for (std::size_t i = 0; i < plan.replicas; ++i) {
-        troubled += near(now, plan.replica(i)) ? 1 : 0;
+    std::size_t faulty = 0;
+    for (std::size_t i = 0; i < topology.replicas; ++i) {
+        faulty += recentlyFaulty(now, topology.replica(i)) ? 1 : 0;
     }
-    return troubled * 2 < plan.replicas;
+    return faulty * 2 < topology.replicas;
 }
 
 } // namespace Robinrail::Soak
--- a/soak/soak_types.h
+++ b/soak/soak_types.h
@@ -21,16 +21,16 @@
 
 // Bounds of the promises, as small deployments set them: after this without trouble near it a node must keep
 // them, a drain or a change must be in force, and service must be back.
-inline constexpr Duration ContactTime = seconds(4);
-inline constexpr Duration DrainTime = seconds(3);
-inline constexpr Duration ApplyTime = seconds(3);
-inline constexpr Duration RecoveryTime = seconds(12);
+inline constexpr Duration FaultGracePeriod = seconds(4);
+inline constexpr Duration DrainDeadline = seconds(3);
+inline constexpr Duration ApplyDeadline = seconds(3);
+inline constexpr Duration RecoveryDeadline = seconds(12);
 
 // A replica that lost its disk counts as lost for this long after its start.
 inline constexpr Duration CatchUpTime = seconds(4);
 
 // The steps of all stand-ins' clocks.
-inline constexpr milliseconds StandinTick{10};
+inline constexpr milliseconds TickInterval{10};
 
 using Random = pcg64;
 
@@ -40,35 +40,35 @@
 }
 
 // A whole number from 0 up to `count` - 1.
-inline std::size_t pick(Random &random, std::size_t count)
+inline std::size_t uniformIndex(Random &random, std::size_t count)
 {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(random);
 }
 
-inline milliseconds between(Random &random, milliseconds least, milliseconds most)
+inline milliseconds uniformDuration(Random &random, milliseconds min, milliseconds max)
 {
-    return milliseconds(std::uniform_int_distribution<std::int64_t>(least.count(), most.count())(random));
+    return milliseconds(std::uniform_int_distribution<std::int64_t>(min.count(), max.count())(random));
 }
 
 // Who has which address. A run has a loopback network of its own, so that runs side by side never meet.
-struct Plan {
+struct Topology {
     std::uint8_t network = 0; // The second number of each address, 127.x.
     std::size_t replicas = 3;
     std::size_t balancers = 4;
     std::size_t targets = 10;
     std::size_t callers = 30;
-    std::size_t namedSeeds = 3; // Replicas that the settings of a node name, after the first start.
+    std::size_t seedNodes = 3; // Replicas that the settings of a node name, after the first start.
 
     static constexpr std::uint16_t ControlPort = 8166;
     static constexpr std::uint16_t ReadinessPort = 8167;
     static constexpr std::uint16_t PacketPort = 8172;
     static constexpr std::uint16_t LinkPort = 7720; // Where a proxy takes links for a replica.
-    static constexpr std::uint16_t OwnLinkPort = 7721; // Where the replica itself takes them.
+    static constexpr std::uint16_t ReplicaLinkPort = 7721; // Where the replica itself takes them.
     static constexpr std::uint16_t TargetPort = 8080;
 
-    std::uint32_t address(std::uint8_t kind, std::size_t number) const
+    std::uint32_t address(std::uint8_t subnet, std::size_t number) const
     {
-        return 0x7f000000U | std::uint32_t{network} << 16U | std::uint32_t{kind} << 8U | static_cast<std::uint32_t>(number + 1);
+        return 0x7f000000U | std::uint32_t{network} << 16U | std::uint32_t{subnet} << 8U | static_cast<std::uint32_t>(number + 1);
     }
     std::uint32_t replica(std::size_t number) const
     {
@@ -95,11 +95,11 @@
 
 // Seeds from here on also drain a data centre and let targets start again under their keys. What a lower one plays stays as
 // it was when it failed.
-inline constexpr std::uint64_t FirstSeedWithDrains = 1000;
+inline constexpr std::uint64_t FirstRunWithDrains = 1000;
 
 // Seeds from here on name only a majority of the replicas in the settings of a node that starts again, so that one with an
 // empty disk may have to learn from a leader that it was not told of.
-inline constexpr std::uint64_t FirstSeedWithFewSeeds = 2000;
+inline constexpr std::uint64_t FirstRunWithPartialSeedNodes = 2000;
 
 // The routes that never change, one for each service, and one that comes and goes.
 inline const std::vector<std::string> Services = {"quotes", "decks"};
@@ -108,16 +108,16 @@
 inline constexpr Endpoint ChangingRoute{0xc6120003, 443};
 
 // What the route's service is, whatever the version.
-inline const std::string &serviceOf(Endpoint route)
+inline const std::string &serviceForRoute(Endpoint route)
 {
     return route == SecondRoute ? Services[1] : Services[0];
 }
 
 // Collects what went wrong. A promise is broken once and for all: the run fails.
-class Promises
+class Violations
 {
 public:
-    void broken(std::string_view promise, const std::string &detail);
+    void report(std::string_view invariant, const std::string &detail);
     std::size_t count() const;
 
 private:
@@ -125,24 +125,24 @@
 };
 
 // When and where there was trouble, so that promises with a time bound are asked only of nodes out of it.
-class Trouble
+class FaultTracker
 {
 public:
     // A node (by its address) is in trouble from now on, until settled() and the contact time after it.
     void begin(TimePoint now, std::uint32_t address);
-    void settle(TimePoint now, std::uint32_t address);
+    void end(TimePoint now, std::uint32_t address);
 
-    bool near(TimePoint now, std::uint32_t address) const;
+    bool recentlyFaulty(TimePoint now, std::uint32_t address) const;
 
     // Whether so few replicas are in trouble that the others have a quorum.
-    bool controlCalm(TimePoint now, const Plan &plan) const;
+    bool replicaQuorumHealthy(TimePoint now, const Topology &topology) const;
 
 private:
-    struct Span {
-        int open = 0;
-        TimePoint ended;
+    struct NodeFaults {
+        int active = 0;
+        TimePoint lastEnd;
     };
-    std::map<std::uint32_t, Span> m_nodes;
+    std::map<std::uint32_t, NodeFaults> m_nodeFaults;
 };
 
 } // namespace Robinrail::Soak
--- a/soak/target_fleet.cpp
+++ b/soak/target_fleet.cpp
@@ -17,39 +17,39 @@
 constexpr milliseconds CallTimeout{1000};
 
 // A drain that nobody confirms ends all the same; one that was confirmed goes on for a little.
-constexpr Duration UnconfirmedDrain = seconds(9);
+constexpr Duration UnconfirmedDrainTimeout = seconds(9);
 constexpr Duration LingerAfterDrain = milliseconds(1500);
 
 // Bytes of an answer, of one packet, and the time that one request takes at most.
-constexpr std::size_t LargestAnswer = 4000;
+constexpr std::size_t MaxAnswerBytes = 4000;
 constexpr std::size_t PacketBytes = 1200;
 constexpr milliseconds MaxWorkTime{30};
 
 // Data without an acknowledgement is sent again after this, twice as late each time, and so often.
-constexpr Duration FirstResend = milliseconds(200);
+constexpr Duration FirstResendDelay = milliseconds(200);
 constexpr Duration MaxResendDelay = milliseconds(1600);
-constexpr int MaxTries = 8;
+constexpr int MaxResends = 8;
 
 constexpr std::uint32_t SlotsPerTarget = 3;
 
 } // namespace
 
-std::string writeRequest(const RequestText &request)
+std::string formatRequest(const TargetRequest &request)
 {
     return std::to_string(request.number) + (request.repeatable ? " 1" : " 0");
 }
 
-std::optional<RequestText> readRequest(BytesView bytes)
+std::optional<TargetRequest> parseRequest(BytesView bytes)
 {
     std::istringstream text(std::string(bytes.begin(), bytes.end()));
-    RequestText request;
+    TargetRequest request;
     if (!(text >> request.number >> request.repeatable)) {
         return std::nullopt;
     }
     return request;
 }
 
-std::string writeAnswer(std::uint64_t number, const std::string &service, std::size_t bytes)
+std::string formatAnswer(std::uint64_t number, const std::string &service, std::size_t bytes)
 {
     std::string text = std::to_string(number) + " " + service + " ";
     text.append(bytes, 'x');
@@ -57,17 +57,17 @@
     return text;
 }
 
-TargetFleet::TargetFleet(boost::asio::io_context &io, const Plan &plan, const Trouble &trouble, Promises &promises, std::uint64_t seed)
+TargetSimulator::TargetSimulator(boost::asio::io_context &io, const Topology &topology, const FaultTracker &faults, Violations &violations, std::uint64_t seed)
     : m_io(io)
-    , m_plan(plan)
-    , m_trouble(trouble)
-    , m_promises(promises)
+    , m_topology(topology)
+    , m_faults(faults)
+    , m_violations(violations)
     , m_random(seed)
-    , m_places(plan.targets)
+    , m_hosts(topology.targets)
 {
-    for (std::size_t i = 0; i < m_places.size(); ++i) {
-        const Endpoint endpoint{plan.target(i), Plan::TargetPort};
-        m_places[i].socket = std::make_unique<DatagramSocket>(io, endpoint, [this, i](Endpoint from, BytesView datagram) {
+    for (std::size_t i = 0; i < m_hosts.size(); ++i) {
+        const Endpoint endpoint{topology.target(i), Topology::TargetPort};
+        m_hosts[i].socket = std::make_unique<DatagramSocket>(io, endpoint, [this, i](Endpoint from, BytesView datagram) {
             receive(i, from, datagram);
         });
     }
@@ -75,91 +75,91 @@
 
 // ---- Lifetimes ----
 
-void TargetFleet::begin(TimePoint now, std::size_t place)
+void TargetSimulator::startTarget(TimePoint now, std::size_t host)
 {
     Target target;
-    target.place = place;
+    target.host = host;
     target.record.key = TargetKey{(std::uint64_t{m_random()} >> 16U) | 1U};
-    if (const auto former = std::exchange(m_places[place].former, std::nullopt)) {
-        target.record.key = former->key;
-        target.record.born = former->born + 1;
+    if (const auto previous = std::exchange(m_hosts[host].previous, std::nullopt)) {
+        target.record.key = previous->key;
+        target.record.born = previous->born + 1;
     }
     // Half of the places belong to each service.
-    target.record.service = Services[place < m_places.size() / 2 ? 0 : 1];
-    target.record.address = {m_plan.target(place), Plan::TargetPort};
-    target.record.dataCentre = DataCentreId{static_cast<std::uint8_t>(1 + place % DataCentres.size())};
+    target.record.service = Services[host < m_hosts.size() / 2 ? 0 : 1];
+    target.record.address = {m_topology.target(host), Topology::TargetPort};
+    target.record.dataCentre = DataCentreId{static_cast<std::uint8_t>(1 + host % DataCentres.size())};
     target.record.slots = SlotsPerTarget;
-    target.announceDue = now;
-    target.replica = pick(m_random, m_plan.replicas);
+    target.nextAnnounceAt = now;
+    target.replica = uniformIndex(m_random, m_topology.replicas);
     const Endpoint address = target.record.address;
-    m_places[place].target = std::move(target);
-    m_places[place].health = std::make_unique<HttpServer>(m_io, [](const HttpRequest &, const HttpRespond &respond) {
+    m_hosts[host].target = std::move(target);
+    m_hosts[host].health = std::make_unique<HttpServer>(m_io, [](const HttpRequest &, const HttpRespond &respond) {
         constexpr unsigned Ok = 200;
         respond({Ok, "application/json", "{}", {}});
     });
-    if (!m_places[place].health->listen(address)) {
+    if (!m_hosts[host].health->listen(address)) {
         LogLine(LogLevel::Error, "health-not-bound").with("address", toText(address));
     }
 }
 
-void TargetFleet::end(Place &place)
+void TargetSimulator::stopTarget(Host &host)
 {
-    place.target.reset();
-    place.health.reset();
+    host.target.reset();
+    host.health.reset();
 }
 
-void TargetFleet::crash(TimePoint now, milliseconds pause)
+void TargetSimulator::crash(TimePoint now, milliseconds downtime)
 {
-    Place &place = m_places[pick(m_random, m_places.size())];
-    if (place.target) {
-        LogLine(LogLevel::Info, "target-crashed").with("target", value(place.target->record.key));
-        end(place);
-        place.nextDue = now + pause;
+    Host &host = m_hosts[uniformIndex(m_random, m_hosts.size())];
+    if (host.target) {
+        LogLine(LogLevel::Info, "target-crashed").with("target", value(host.target->record.key));
+        stopTarget(host);
+        host.nextStartAt = now + downtime;
     }
 }
 
-void TargetFleet::restart(TimePoint now, milliseconds pause)
+void TargetSimulator::restart(TimePoint now, milliseconds downtime)
 {
-    Place &place = m_places[pick(m_random, m_places.size())];
-    if (place.target) {
-        const TargetRecord &record = place.target->record;
+    Host &host = m_hosts[uniformIndex(m_random, m_hosts.size())];
+    if (host.target) {
+        const TargetRecord &record = host.target->record;
         LogLine(LogLevel::Info, "target-restarts").with("target", value(record.key)).with("born", record.born);
-        place.former = TargetLifetime{record.key, record.born};
-        end(place);
-        place.nextDue = now + pause;
+        host.previous = TargetLifetime{record.key, record.born};
+        stopTarget(host);
+        host.nextStartAt = now + downtime;
     }
 }
 
-void TargetFleet::drain(TimePoint now)
+void TargetSimulator::drain(TimePoint now)
 {
-    Place &place = m_places[pick(m_random, m_places.size())];
-    if (place.target && place.target->record.phase == TargetPhase::Serving) {
-        LogLine(LogLevel::Info, "target-drains").with("target", value(place.target->record.key));
-        place.target->record.phase = TargetPhase::Draining;
-        place.target->announceDue = now;
-        place.target->leaveDue = now + UnconfirmedDrain;
+    Host &host = m_hosts[uniformIndex(m_random, m_hosts.size())];
+    if (host.target && host.target->record.phase == TargetPhase::Serving) {
+        LogLine(LogLevel::Info, "target-drains").with("target", value(host.target->record.key));
+        host.target->record.phase = TargetPhase::Draining;
+        host.target->nextAnnounceAt = now;
+        host.target->leaveAt = now + UnconfirmedDrainTimeout;
     }
 }
 
-void TargetFleet::leave(TimePoint now, Place &place)
+void TargetSimulator::leave(TimePoint now, Host &host)
 {
-    const Endpoint replica{m_plan.replica(place.target->replica), Plan::ControlPort};
-    startHttpCall(m_io, replica, {"DELETE", Platform::targetPath(place.target->record.key), {}, {}, {}}, CallTimeout, [](const auto &) {
+    const Endpoint replica{m_topology.replica(host.target->replica), Topology::ControlPort};
+    startHttpCall(m_io, replica, {"DELETE", Platform::targetPath(host.target->record.key), {}, {}, {}}, CallTimeout, [](const auto &) {
         // A target that ends does not wait for the answer.
     });
-    end(place);
-    place.nextDue = now + AnnounceInterval;
+    stopTarget(host);
+    host.nextStartAt = now + AnnounceInterval;
 }
 
-void TargetFleet::announce(TimePoint now, Place &place)
+void TargetSimulator::announce(TimePoint now, Host &host)
 {
-    Target &target = *place.target;
-    if (target.calling || now < target.announceDue) {
+    Target &target = *host.target;
+    if (target.callPending || now < target.nextAnnounceAt) {
         return;
     }
-    target.calling = true;
+    target.callPending = true;
     ++target.record.sequence;
-    const Endpoint replica{m_plan.replica(target.replica), Plan::ControlPort};
+    const Endpoint replica{m_topology.replica(target.replica), Topology::ControlPort};
     const std::string &dataCentre = DataCentres[value(target.record.dataCentre) - 1];
     const HttpRequest request{"PUT", Platform::targetPath(target.record.key), {}, {}, Platform::writeAnnouncement(target.record, dataCentre)};
     const TargetPhase phase = target.record.phase;
@@ -167,116 +167,116 @@
                   replica,
                   request,
                   CallTimeout,
-                  [this, lifetime = TargetLifetime{target.record.key, target.record.born}, index = target.place, phase](const std::optional<HttpReply> &reply) {
+                  [this, lifetime = TargetLifetime{target.record.key, target.record.born}, index = target.host, phase](const std::optional<HttpReply> &reply) {
                       constexpr unsigned Ok = 200;
-                      announced(lifetime, index, phase, reply && reply->status == Ok);
+                      handleAnnounceReply(lifetime, index, phase, reply && reply->status == Ok);
                   });
 }
 
-void TargetFleet::announced(TargetLifetime lifetime, std::size_t place, TargetPhase phase, bool taken)
+void TargetSimulator::handleAnnounceReply(TargetLifetime lifetime, std::size_t host, TargetPhase phase, bool accepted)
 {
     const TimePoint now = monotonicNow();
-    std::optional<Target> &target = m_places[place].target;
+    std::optional<Target> &target = m_hosts[host].target;
     if (!target || TargetLifetime{target->record.key, target->record.born} != lifetime) {
         return;
     }
-    target->calling = false;
-    target->announceDue = taken ? now + AnnounceInterval : now;
-    if (!taken) {
-        target->replica = (target->replica + 1) % m_plan.replicas;
-        target->announceDue = now + StandinTick * 10;
-    } else if (phase == TargetPhase::Draining && !target->drainConfirmed) {
-        target->drainConfirmed = now;
-        target->leaveDue = now + DrainTime + LingerAfterDrain;
+    target->callPending = false;
+    target->nextAnnounceAt = accepted ? now + AnnounceInterval : now;
+    if (!accepted) {
+        target->replica = (target->replica + 1) % m_topology.replicas;
+        target->nextAnnounceAt = now + TickInterval * 10;
+    } else if (phase == TargetPhase::Draining && !target->drainConfirmedAt) {
+        target->drainConfirmedAt = now;
+        target->leaveAt = now + DrainDeadline + LingerAfterDrain;
     }
 }
 
-void TargetFleet::tick(TimePoint now)
+void TargetSimulator::tick(TimePoint now)
 {
-    for (std::size_t i = 0; i < m_places.size(); ++i) {
-        Place &place = m_places[i];
-        if (!place.target && now >= place.nextDue) {
-            begin(now, i);
+    for (std::size_t i = 0; i < m_hosts.size(); ++i) {
+        Host &host = m_hosts[i];
+        if (!host.target && now >= host.nextStartAt) {
+            startTarget(now, i);
         }
-        if (!place.target) {
+        if (!host.target) {
             continue;
         }
-        announce(now, place);
-        serveFlows(now, place);
-        if (place.target->record.phase == TargetPhase::Draining && now >= place.target->leaveDue) {
-            leave(now, place);
+        announce(now, host);
+        advanceFlows(now, host);
+        if (host.target->record.phase == TargetPhase::Draining && now >= host.target->leaveAt) {
+            leave(now, host);
         }
     }
 }
 
 // ---- Packets ----
 
-void TargetFleet::receive(std::size_t index, Endpoint from, BytesView datagram)
+void TargetSimulator::receive(std::size_t index, Endpoint from, BytesView datagram)
 {
     const TimePoint now = monotonicNow();
-    Place &place = m_places[index];
+    Host &host = m_hosts[index];
     const std::optional<Platform::AddressedPacket> addressed = Platform::readAddressed(datagram);
     const std::optional<WirePacket> packet = addressed ? Platform::readPacket(addressed->packet) : std::nullopt;
     if (!packet) {
-        m_promises.broken("packets stay whole", "unreadable packet at " + toText({m_plan.target(index), Plan::TargetPort}));
+        m_violations.report("packets stay whole", "unreadable packet at " + toText({m_topology.target(index), Topology::TargetPort}));
         return;
     }
     // A packet for another lifetime is left alone.
-    if (!place.target || addressed->target != place.target->record.key) {
+    if (!host.target || addressed->target != host.target->record.key) {
         return;
     }
-    packet->opening ? opening(now, place, *packet, from) : later(now, place, *packet);
+    packet->opening ? handleOpening(now, host, *packet, from) : handleFlowPacket(now, host, *packet);
 }
 
-bool TargetFleet::inTouch(TimePoint now, std::uint32_t balancer) const
+bool TargetSimulator::isExpectedCurrent(TimePoint now, std::uint32_t balancer) const
 {
-    return !m_trouble.near(now, balancer) && m_trouble.controlCalm(now, m_plan);
+    return !m_faults.recentlyFaulty(now, balancer) && m_faults.replicaQuorumHealthy(now, m_topology);
 }
 
-void TargetFleet::checkOpening(TimePoint now, const Target &target, const WirePacket &packet, std::uint32_t balancer)
+void TargetSimulator::checkOpening(TimePoint now, const Target &target, const WirePacket &packet, std::uint32_t balancer)
 {
     const std::string where = toText(packet.from) + " to " + toText(packet.to) + " by " + addressText({balancer, 0});
-    if (serviceOf(packet.to) != target.record.service) {
-        m_promises.broken("flows reach their service", where);
+    if (serviceForRoute(packet.to) != target.record.service) {
+        m_violations.report("flows reach their service", where);
     }
-    if (target.drainConfirmed && now - *target.drainConfirmed > DrainTime && inTouch(now, balancer)) {
-        m_promises.broken("a draining target gets no new flow", where);
+    if (target.drainConfirmedAt && now - *target.drainConfirmedAt > DrainDeadline && isExpectedCurrent(now, balancer)) {
+        m_violations.report("a draining target gets no new flow", where);
     }
     const bool drained = DataCentres[value(target.record.dataCentre) - 1] == DrainedDataCentre;
-    if (drained && m_drained && now - *m_drained > ApplyTime && inTouch(now, balancer)) {
-        m_promises.broken("a drained data centre gets no new flow", where);
+    if (drained && m_drainedSince && now - *m_drainedSince > ApplyDeadline && isExpectedCurrent(now, balancer)) {
+        m_violations.report("a drained data centre gets no new flow", where);
     }
-    if (packet.to == ChangingRoute && m_routeGone && now - *m_routeGone > ApplyTime && inTouch(now, balancer)) {
-        m_promises.broken("a removed route takes no new flow", where);
+    if (packet.to == ChangingRoute && m_routeRemovedSince && now - *m_routeRemovedSince > ApplyDeadline && isExpectedCurrent(now, balancer)) {
+        m_violations.report("a removed route takes no new flow", where);
     }
 }
 
-void TargetFleet::opening(TimePoint now, Place &place, const WirePacket &packet, Endpoint balancer)
+void TargetSimulator::handleOpening(TimePoint now, Host &host, const WirePacket &packet, Endpoint balancer)
 {
-    Target &target = *place.target;
+    Target &target = *host.target;
     checkOpening(now, target, packet, balancer.address);
     Flow &flow = target.flows[{packet.from, packet.to}];
     if (flow.open) {
         return;
     }
-    if (flow.first == 0) {
-        flow.first = static_cast<std::uint32_t>(m_random()) | 1U;
+    if (flow.firstSequence == 0) {
+        flow.firstSequence = static_cast<std::uint32_t>(m_random()) | 1U;
     }
-    flow.sent = flow.first + 1;
-    flow.acknowledged = flow.sent;
-    flow.expected = packet.sequence + 1;
+    flow.nextSequence = flow.firstSequence + 1;
+    flow.acknowledged = flow.nextSequence;
+    flow.expectedSequence = packet.sequence + 1;
     flow.token = packet.token;
-    reply(place, {packet.to, packet.from, flow.token, flow.first, flow.expected, true, true, false, false, {}});
+    reply(host, {packet.to, packet.from, flow.token, flow.firstSequence, flow.expectedSequence, true, true, false, false, {}});
 }
 
-void TargetFleet::later(TimePoint now, Place &place, const WirePacket &packet)
+void TargetSimulator::handleFlowPacket(TimePoint now, Host &host, const WirePacket &packet)
 {
-    Target &target = *place.target;
+    Target &target = *host.target;
     const auto at = target.flows.find({packet.from, packet.to});
-    const bool known = at != target.flows.end() && (at->second.open || packet.acknowledged == at->second.first + 1);
+    const bool known = at != target.flows.end() && (at->second.open || packet.acknowledged == at->second.firstSequence + 1);
     if (!known) {
         if (!packet.reset) {
-            reply(place, {packet.to, packet.from, packet.token, packet.acknowledged, packet.sequence, false, false, false, true, {}});
+            reply(host, {packet.to, packet.from, packet.token, packet.acknowledged, packet.sequence, false, false, false, true, {}});
         }
         return;
     }
@@ -288,99 +288,99 @@
         return;
     }
     const std::uint32_t progress = packet.acknowledged - flow.acknowledged;
-    if (progress > 0 && progress <= flow.unsent.size()) {
-        flow.unsent.erase(flow.unsent.begin(), flow.unsent.begin() + progress);
+    if (progress > 0 && progress <= flow.unacknowledged.size()) {
+        flow.unacknowledged.erase(flow.unacknowledged.begin(), flow.unacknowledged.begin() + progress);
         flow.acknowledged = packet.acknowledged;
-        flow.tries = 0;
-        flow.due = now + FirstResend;
+        flow.resends = 0;
+        flow.nextActionAt = now + FirstResendDelay;
     }
-    if (!packet.data.empty() && packet.sequence == flow.expected) {
-        flow.expected += static_cast<std::uint32_t>(packet.data.size());
-        if (const std::optional<RequestText> request = readRequest(packet.data)) {
-            run(now, target, flow, *request);
+    if (!packet.data.empty() && packet.sequence == flow.expectedSequence) {
+        flow.expectedSequence += static_cast<std::uint32_t>(packet.data.size());
+        if (const std::optional<TargetRequest> request = parseRequest(packet.data)) {
+            execute(now, target, flow, *request);
         }
     }
 }
 
-void TargetFleet::run(TimePoint now, Target &target, Flow &flow, const RequestText &request)
+void TargetSimulator::execute(TimePoint now, Target &target, Flow &flow, const TargetRequest &request)
 {
-    ++m_runs;
-    if (!request.repeatable && !m_ranOnce.insert(request.number).second) {
-        m_promises.broken("a request that must not be repeated runs once", std::to_string(request.number));
+    ++m_executedRequests;
+    if (!request.repeatable && !m_executedOnce.insert(request.number).second) {
+        m_violations.report("a request that must not be repeated runs once", std::to_string(request.number));
     }
-    flow.working = writeAnswer(request.number, target.record.service, pick(m_random, LargestAnswer));
-    flow.due = now + between(m_random, milliseconds(2), MaxWorkTime);
+    flow.pendingAnswer = formatAnswer(request.number, target.record.service, uniformIndex(m_random, MaxAnswerBytes));
+    flow.nextActionAt = now + uniformDuration(m_random, milliseconds(2), MaxWorkTime);
 }
 
-void TargetFleet::serveFlows(TimePoint now, Place &place)
+void TargetSimulator::advanceFlows(TimePoint now, Host &host)
 {
-    for (auto at = place.target->flows.begin(); at != place.target->flows.end();) {
+    for (auto at = host.target->flows.begin(); at != host.target->flows.end();) {
         Flow &flow = at->second;
-        if (flow.working && now >= flow.due) {
-            flow.unsent.assign(flow.working->begin(), flow.working->end());
-            flow.working.reset();
-            flow.tries = 0;
-            transmit(now, place, at->first, flow);
-        } else if (!flow.working && !flow.unsent.empty() && now >= flow.due) {
-            if (++flow.tries > MaxTries) {
-                at = place.target->flows.erase(at);
+        if (flow.pendingAnswer && now >= flow.nextActionAt) {
+            flow.unacknowledged.assign(flow.pendingAnswer->begin(), flow.pendingAnswer->end());
+            flow.pendingAnswer.reset();
+            flow.resends = 0;
+            transmit(now, host, at->first, flow);
+        } else if (!flow.pendingAnswer && !flow.unacknowledged.empty() && now >= flow.nextActionAt) {
+            if (++flow.resends > MaxResends) {
+                at = host.target->flows.erase(at);
                 continue;
             }
-            transmit(now, place, at->first, flow);
+            transmit(now, host, at->first, flow);
         }
         ++at;
     }
 }
 
 // Sends all that the caller has not acknowledged.
-void TargetFleet::transmit(TimePoint now, Place &place, const FlowMap::key_type &key, Flow &flow)
+void TargetSimulator::transmit(TimePoint now, Host &host, const FlowMap::key_type &key, Flow &flow)
 {
-    const BytesView unsent(flow.unsent);
-    for (std::size_t at = 0; at < unsent.size(); at += PacketBytes) {
-        const BytesView part = unsent.subspan(at, std::min(PacketBytes, unsent.size() - at));
+    const BytesView unacknowledged(flow.unacknowledged);
+    for (std::size_t at = 0; at < unacknowledged.size(); at += PacketBytes) {
+        const BytesView part = unacknowledged.subspan(at, std::min(PacketBytes, unacknowledged.size() - at));
         const std::uint32_t sequence = flow.acknowledged + static_cast<std::uint32_t>(at);
-        reply(place, {key.second, key.first, flow.token, sequence, flow.expected, false, true, false, false, part});
+        reply(host, {key.second, key.first, flow.token, sequence, flow.expectedSequence, false, true, false, false, part});
     }
-    flow.sent = flow.acknowledged + static_cast<std::uint32_t>(unsent.size());
-    flow.due = now + std::min(FirstResend * (1 << std::min(flow.tries, 3)), MaxResendDelay);
+    flow.nextSequence = flow.acknowledged + static_cast<std::uint32_t>(unacknowledged.size());
+    flow.nextActionAt = now + std::min(FirstResendDelay * (1 << std::min(flow.resends, 3)), MaxResendDelay);
 }
 
-void TargetFleet::reply(Place &place, const WirePacket &packet)
+void TargetSimulator::reply(Host &host, const WirePacket &packet)
 {
-    place.socket->send({packet.to.address, Plan::PacketPort}, BytesView(Platform::writePacket(packet)));
+    host.socket->send({packet.to.address, Topology::PacketPort}, BytesView(Platform::writePacket(packet)));
 }
 
 // ---- Questions of the callers ----
 
-bool TargetFleet::openAtLiveTarget(const FlowKey &flow) const
+bool TargetSimulator::isFlowOpen(const FlowKey &flow) const
 {
-    return std::any_of(m_places.begin(), m_places.end(), [&flow](const Place &place) {
-        if (!place.target) {
+    return std::any_of(m_hosts.begin(), m_hosts.end(), [&flow](const Host &host) {
+        if (!host.target) {
             return false;
         }
-        const auto at = place.target->flows.find({flow.caller, flow.route});
-        return at != place.target->flows.end() && at->second.open;
+        const auto at = host.target->flows.find({flow.caller, flow.route});
+        return at != host.target->flows.end() && at->second.open;
     });
 }
 
-bool TargetFleet::isTarget(Endpoint sender) const
+bool TargetSimulator::isTargetAddress(Endpoint sender) const
 {
-    return sender.address >= m_plan.target(0) && sender.address <= m_plan.target(m_places.size() - 1);
+    return sender.address >= m_topology.target(0) && sender.address <= m_topology.target(m_hosts.size() - 1);
 }
 
-void TargetFleet::setRouteGone(std::optional<TimePoint> since)
+void TargetSimulator::setRouteRemovedSince(std::optional<TimePoint> since)
 {
-    m_routeGone = since;
+    m_routeRemovedSince = since;
 }
 
-void TargetFleet::setDrained(std::optional<TimePoint> since)
+void TargetSimulator::setDrainedSince(std::optional<TimePoint> since)
 {
-    m_drained = since;
+    m_drainedSince = since;
 }
 
-std::size_t TargetFleet::runs() const
+std::size_t TargetSimulator::executedRequests() const
 {
-    return m_runs;
+    return m_executedRequests;
 }
 
 } // namespace Robinrail::Soak
--- a/tests/test_soak.cpp
+++ b/tests/test_soak.cpp
@@ -22,7 +22,7 @@
 const TimePoint Start(std::chrono::hours(1));
 constexpr std::uint32_t Node = 7;
 
-RoutingTable changingTable()
+RoutingTable twoServiceTable()
 {
     RoutingTable table;
     table.version = 12;
@@ -36,33 +36,33 @@
 
 TEST_CASE("a node is out of trouble only a contact time after all its troubles")
 {
-    Trouble trouble;
-    CHECK_FALSE(trouble.near(Start, Node));
-    trouble.begin(Start, Node);
-    trouble.begin(Start + seconds(1), Node);
-    trouble.settle(Start + seconds(2), Node);
-    CHECK(trouble.near(Start + seconds(60), Node));
-    trouble.settle(Start + seconds(60), Node);
-    CHECK(trouble.near(Start + seconds(60) + ContactTime - milliseconds(1), Node));
-    CHECK_FALSE(trouble.near(Start + seconds(60) + ContactTime, Node));
+    FaultTracker faults;
+    CHECK_FALSE(faults.recentlyFaulty(Start, Node));
+    faults.begin(Start, Node);
+    faults.begin(Start + seconds(1), Node);
+    faults.end(Start + seconds(2), Node);
+    CHECK(faults.recentlyFaulty(Start + seconds(60), Node));
+    faults.end(Start + seconds(60), Node);
+    CHECK(faults.recentlyFaulty(Start + seconds(60) + FaultGracePeriod - milliseconds(1), Node));
+    CHECK_FALSE(faults.recentlyFaulty(Start + seconds(60) + FaultGracePeriod, Node));
 }
 
 TEST_CASE("control is calm as long as a quorum of replicas is out of trouble")
 {
-    const Plan plan;
-    Trouble trouble;
-    trouble.begin(Start, plan.replica(0));
-    CHECK(trouble.controlCalm(Start, plan));
-    trouble.begin(Start, plan.replica(2));
-    CHECK_FALSE(trouble.controlCalm(Start, plan));
+    const Topology topology;
+    FaultTracker faults;
+    faults.begin(Start, topology.replica(0));
+    CHECK(faults.replicaQuorumHealthy(Start, topology));
+    faults.begin(Start, topology.replica(2));
+    CHECK_FALSE(faults.replicaQuorumHealthy(Start, topology));
 }
 
 TEST_CASE("a broken promise is counted and never forgotten")
 {
-    Promises promises;
-    CHECK(promises.count() == 0);
-    promises.broken("a promise of a test", "on purpose");
-    CHECK(promises.count() == 1);
+    Violations violations;
+    CHECK(violations.count() == 0);
+    violations.report("a promise of a test", "on purpose");
+    CHECK(violations.count() == 1);
 }
 
 TEST_CASE("what a stand-in caller writes is what a balancer reads")
@@ -89,7 +89,7 @@
 TEST_CASE("what stand-in operators and targets write is what a replica reads")
 {
     std::string reason;
-    const RoutingTable table = changingTable();
+    const RoutingTable table = twoServiceTable();
     const std::optional<RoutingDocument> document = Platform::readDocument(Platform::writeDocument(table), reason);
     REQUIRE_MESSAGE(document, reason);
     CHECK(document->table == table);
@@ -98,7 +98,7 @@
     TargetRecord record;
     record.key = TargetKey{0x1234};
     record.service = Services[1];
-    record.address = {0x7f5a0301, Plan::TargetPort};
+    record.address = {0x7f5a0301, Topology::TargetPort};
     record.dataCentre = DataCentreId{2};
     record.slots = 3;
     record.phase = TargetPhase::Draining;
@@ -113,14 +113,14 @@
 
 TEST_CASE("requests and answers of the stand-ins are told apart by their numbers")
 {
-    const std::string text = writeRequest({42, true});
+    const std::string text = formatRequest({42, true});
     const Bytes bytes(text.begin(), text.end());
-    const std::optional<RequestText> request = readRequest(bytes);
+    const std::optional<TargetRequest> request = parseRequest(bytes);
     REQUIRE(request);
     CHECK(request->number == 42);
     CHECK(request->repeatable);
-    CHECK_FALSE(readRequest(Bytes{'x'}));
-    CHECK(writeAnswer(42, "decks", 3) == "42 decks xxx\n");
+    CHECK_FALSE(parseRequest(Bytes{'x'}));
+    CHECK(formatAnswer(42, "decks", 3) == "42 decks xxx\n");
 }
 
 TEST_CASE("a proxy passes bytes on, holds them while silent, and breaks connections off")
@@ -143,11 +143,11 @@
     }
     std::array<char, 8> buffer{};
     std::size_t received = 0;
-    bool broken = false;
+    bool disconnected = false;
     std::function<void()> receive = [&] {
         accepted.async_read_some(boost::asio::buffer(buffer), [&](const boost::system::error_code &error, std::size_t size) {
             received += size;
-            broken = broken || error;
+            disconnected = disconnected || error;
             if (!error) {
                 receive();
             }
@@ -158,7 +158,7 @@
     while (received < 2) {
         io.run_one();
     }
-    proxy.setFault(LinkFault::Silent, milliseconds{0});
+    proxy.setFault(LinkFault::Stalled, milliseconds{0});
     boost::asio::write(client, boost::asio::buffer("cd", 2));
     io.run_for(milliseconds(60));
     CHECK(received == 2);
@@ -166,11 +166,11 @@
     while (received < 4) {
         io.run_one();
     }
-    proxy.resetAll();
-    while (!broken) {
+    proxy.resetConnections();
+    while (!disconnected) {
         io.run_one();
     }
-    CHECK(broken);
+    CHECK(disconnected);
 }
 
 TEST_CASE("runs side by side take different loopback networks, wherever they begin to look")
@@ -178,25 +178,25 @@
     constexpr std::uint8_t First = 12; // Below those that runs of the soak take.
     constexpr std::uint8_t Last = 13;
     boost::asio::io_context io;
-    const NetworkClaim one(io, First, Last, Last);
+    const LoopbackNetworkLock one(io, First, Last, Last);
     CHECK(one.network() == Last);
     {
-        const NetworkClaim other(io, First, Last, Last);
+        const LoopbackNetworkLock other(io, First, Last, Last);
         CHECK(other.network() == First);
-        CHECK(NetworkClaim(io, First, Last, First).network() == 0);
+        CHECK(LoopbackNetworkLock(io, First, Last, First).network() == 0);
     }
-    CHECK(NetworkClaim(io, First, Last, Last).network() == First);
+    CHECK(LoopbackNetworkLock(io, First, Last, Last).network() == First);
 }
 
 TEST_CASE("a version is due at each replica an apply time after its acknowledgement, and is read from metrics")
 {
     AcknowledgedVersions versions;
-    versions.note(Start, 3);
-    versions.note(Start + milliseconds(10), 3);
-    versions.note(Start + seconds(1), 5);
-    CHECK(versions.due(Start + ApplyTime - milliseconds(1)) == 0);
-    CHECK(versions.due(Start + ApplyTime) == 3);
-    CHECK(versions.due(Start + ApplyTime + seconds(1)) == 5);
-    CHECK(routingVersionOf("# TYPE robinrail_routing_version gauge\nrobinrail_routing_version 12\nrobinrail_x 3\n") == 12);
-    CHECK_FALSE(routingVersionOf("robinrail_x 3\n"));
+    versions.record(Start, 3);
+    versions.record(Start + milliseconds(10), 3);
+    versions.record(Start + seconds(1), 5);
+    CHECK(versions.requiredVersion(Start + ApplyDeadline - milliseconds(1)) == 0);
+    CHECK(versions.requiredVersion(Start + ApplyDeadline) == 3);
+    CHECK(versions.requiredVersion(Start + ApplyDeadline + seconds(1)) == 5);
+    CHECK(parseRoutingVersion("# TYPE robinrail_routing_version gauge\nrobinrail_routing_version 12\nrobinrail_x 3\n") == 12);
+    CHECK_FALSE(parseRoutingVersion("robinrail_x 3\n"));
 }
