--- a/soak/caller_crowd.cpp
+++ b/soak/caller_crowd.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Caller crowd: implementation.
+// Caller simulator: implementation.
 #include "caller_crowd.h"
 
 #include "log.h"
@@ -13,28 +13,28 @@
 
 namespace {
 
-// Copies of an opening packet are sent after these times, and the attempt ends after the last one.
+// Times after the first opening packet: at all but the last one a copy is sent, and at the last one the attempt fails.
 constexpr std::array<Duration, 3> OpeningTimeouts = {milliseconds(200), milliseconds(600), milliseconds(1400)};
 
-// Data without an acknowledgement is sent again after this, twice as late each time.
+// Unacknowledged data is resent after a delay that doubles from the first to the maximum.
 constexpr Duration FirstResendDelay = milliseconds(200);
 constexpr Duration MaxResendDelay = milliseconds(1600);
 
-// A request without its answer is given up after this.
+// A request that is not fully answered within this time has failed.
 constexpr Duration RequestTimeout = milliseconds(3000);
 
-// Requests of one flow at most, the pause between two, and the shares of requests and of flows of a kind.
+// Limits for the number of requests per flow and the idle time between them, and probabilities of each kind of request and route.
 constexpr std::size_t MaxRequests = 8;
 constexpr milliseconds MaxIdleTime{400};
 constexpr double RepeatableProbability = 0.7;
 constexpr double SecondRouteProbability = 0.3;
 constexpr double ChangingRouteProbability = 0.2;
 
-// Ports from which flows come; none is used twice within the life of a flow.
+// Source ports of flows, assigned in turn, so that none is reused during the lifetime of a flow.
 constexpr std::uint16_t FirstPort = 1024;
 constexpr std::uint16_t LastPort = 60000;
 
-// What recentSuccessRate() looks at: requests that began before this, but not much before.
+// Requests that recentSuccessRate() counts: old enough to have been answered or to have timed out, but not much older.
 constexpr Duration OutcomeMinAge = milliseconds(3500);
 constexpr Duration OutcomeWindow = milliseconds(2000);
 
@@ -115,7 +115,7 @@
     const TimePoint now = monotonicNow();
     const std::optional<WirePacket> packet = Platform::readPacket(datagram);
     if (!packet) {
-        return m_violations.report("packets stay whole", "unreadable packet at a caller from " + toText(from));
+        return m_violations.report("packets are delivered intact", "unreadable packet at a caller from " + toText(from));
     }
     const auto at = m_callerByPort.find(packet->to.port);
     if (at == m_callerByPort.end()) {
@@ -189,7 +189,7 @@
 
 void CallerSimulator::endFlow(TimePoint now, Caller &caller, bool succeeded)
 {
-    // A request on the changing route may fail at any time; what it must not do is checked elsewhere.
+    // A request on the changing route may fail at any time. TargetSimulator checks that a removed route gets no new flow.
     if (!succeeded && caller.flow.route != ChangingRoute && (caller.request || !caller.open)) {
         LogLine(LogLevel::Info, "request-failed").with("caller", toText(caller.flow.caller)).with("open", caller.open).with("copies", caller.openingsSent);
         m_outcomes.push_back({caller.startedAt, false});
@@ -200,7 +200,7 @@
     caller.nextActionAt = now + uniformDuration(m_random, milliseconds(5), MaxIdleTime);
 }
 
-// ---- Time ----
+// ---- Timers ----
 
 void CallerSimulator::advance(TimePoint now, Caller &caller)
 {
--- a/soak/caller_crowd.h
+++ b/soak/caller_crowd.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Caller crowd: stand-in callers that open flows, keep them for some requests, and check every answer.
+// Caller simulator: simulated callers that open flows, send several requests on each, and check every answer.
 #pragma once
 
 #include "fabric.h"
@@ -14,8 +14,8 @@
 
     void tick(TimePoint now);
 
-    // Requests that began in the last two seconds but the very last one, and the share of these that were
-    // answered.
+    // The share of answered requests among those that started between OutcomeMinAge + OutcomeWindow and OutcomeMinAge ago; 0 if
+    // there were none.
     double recentSuccessRate(TimePoint now) const;
 
     std::size_t completedRequests() const;
@@ -26,19 +26,19 @@
 private:
     struct Caller {
         bool open = false;
-        bool idle = true; // No flow: the next one begins when it is due.
+        bool idle = true; // Has no flow; opens the next one at nextActionAt.
         FlowKey flow;
         FlowToken token{};
         int openingsSent = 0;
-        std::uint32_t nextSequence = 0; // Own next sequence number.
-        std::uint32_t expectedSequence = 0; // The target's next sequence number.
+        std::uint32_t nextSequence = 0; // Of the next byte to send.
+        std::uint32_t expectedSequence = 0; // Of the next byte from the target.
         std::optional<TargetRequest> request;
         std::string answer;
-        Bytes unacknowledged; // The request's packet.
-        TimePoint startedAt; // Of the request; of the flow while it opens.
-        TimePoint nextActionAt; // Of sending again, or of the next request.
-        Duration resendDelay{}; // Before it is sent again.
-        int requestsLeft = 0; // Requests to come on this flow.
+        Bytes unacknowledged; // The packet of the request, to be resent.
+        TimePoint startedAt; // Of the request, or of the flow while it is being opened.
+        TimePoint nextActionAt; // When to resend, or to begin the next request or flow.
+        Duration resendDelay{};
+        int requestsLeft = 0; // On this flow.
     };
     struct Outcome {
         TimePoint startedAt;
@@ -63,7 +63,7 @@
     Random m_random;
     Fabric m_fabric;
     std::vector<Caller> m_callers;
-    std::map<std::uint16_t, std::size_t> m_callerByPort; // Of the present flows, to their callers.
+    std::map<std::uint16_t, std::size_t> m_callerByPort; // Index of the caller by the source port of its current flow.
     std::uint16_t m_lastPort = 1024;
     std::uint64_t m_lastRequest = 0;
     std::deque<Outcome> m_outcomes;
--- a/soak/drain_orders.cpp
+++ b/soak/drain_orders.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Drain orders: implementation.
+// Drain operator: implementation.
 #include "drain_orders.h"
 
 #include "operator_call.h"
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Long enough, now and then, that openings come after the order must be in force; short enough for several in a run.
+// Some drains outlast ApplyDeadline, so that flows are opened while the drain must be in force. Short enough for several drains
+// in a run.
 constexpr milliseconds MaxIdleTime{2500};
 constexpr milliseconds MinDrainTime{300};
 constexpr milliseconds MaxDrainTime{7000};
@@ -77,7 +78,7 @@
         return enterStep(monotonicNow(), step == Step::Draining ? Step::Drained : Step::Idle);
     }
     if (reply && reply->status >= FirstRefusal && reply->status < FirstFailure) {
-        m_violations.report("an order to drain a data centre is taken", std::to_string(reply->status) + " " + reply->body);
+        m_violations.report("a drain command is accepted", std::to_string(reply->status) + " " + reply->body);
     }
 }
 
--- a/soak/drain_orders.h
+++ b/soak/drain_orders.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Drain orders: a stand-in operator that empties a data centre, holds it so for some seconds, and takes it back, again and
-// again, each order sent until it is taken.
+// Drain operator: a simulated operator that repeatedly drains a data centre, keeps it drained for some seconds, and restores it.
+// Each command is retried until it is accepted.
 #pragma once
 
 #include "http.h"
@@ -17,13 +17,13 @@
 
     void tick(TimePoint now);
 
-    // Gives no more orders than it takes to have nothing drained.
+    // Begins no further drain and ends the current one.
     void finish();
 
-    // Since when the data centre must get no new flow: a replica said so, and it was not taken back since.
+    // Since when the data centre must get no new flow: when a replica accepted the drain. Empty once restoring has begun.
     std::optional<TimePoint> drainedSince() const;
 
-    // Whether nothing is drained and no order is under way.
+    // Whether nothing is drained and no command is pending.
     bool idle() const;
 
     std::size_t acceptedCommands() const;
@@ -31,7 +31,7 @@
 private:
     enum class Step : std::uint8_t {
         Idle,
-        Draining, // The order is under way.
+        Draining, // The command is not accepted yet.
         Drained,
         Restoring,
     };
@@ -47,7 +47,7 @@
     Step m_step = Step::Idle;
     bool m_finishing = false;
     bool m_callPending = false;
-    TimePoint m_nextActionAt; // Of the next call, or of the next order.
+    TimePoint m_nextActionAt; // When to retry the command, or to send the next one.
     Duration m_retryDelay{};
     std::optional<TimePoint> m_drainedSince;
     std::size_t m_acceptedCommands = 0;
--- a/soak/fabric.cpp
+++ b/soak/fabric.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-// The platform asks twice a second, and two misses put a balancer out.
+// As on the platform: probes twice a second, and two missed probes in a row exclude a balancer.
 constexpr Duration ProbeInterval = milliseconds(500);
 constexpr milliseconds ProbeTimeout{400};
 constexpr int UnhealthyThreshold = 2;
 
-// Shares of packets that go to any balancer, are lost, come twice, or come late by so much.
+// Probabilities that a packet goes to a random balancer, is lost, duplicated, or delayed, and the delay.
 constexpr double RandomBalancerProbability = 0.05;
 constexpr double LossProbability = 0.003;
 constexpr double DuplicateProbability = 0.003;
@@ -40,7 +40,7 @@
     }));
 }
 
-// Rendezvous hashing over the balancers that are in; all of them if fewer than half are.
+// Rendezvous hashing over the healthy balancers, or over all if fewer than half are healthy.
 std::size_t Fabric::selectBalancer(std::uint16_t callerPort)
 {
     const bool useAll = readyBalancers() * 2 < m_balancers.size();
--- a/soak/fabric.h
+++ b/soak/fabric.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Fabric: hands each caller's packet to a balancer that says it is ready, as the platform's routers do.
+// Fabric: forwards the packets of callers to balancers that report ready, as the platform's routers do.
 #pragma once
 
 #include "soak_types.h"
@@ -14,8 +14,8 @@
 public:
     Fabric(boost::asio::io_context &io, const Topology &topology, std::uint64_t seed, DatagramSocket::Receive receive);
 
-    // Sends a caller's packet to a balancer: mostly the same one for a flow, at times any other. A few packets
-    // are lost, come twice or late.
+    // Sends a caller's packet to a balancer: usually the same one for a flow, occasionally a random one. A few packets are lost,
+    // duplicated or delayed.
     void send(TimePoint now, std::uint16_t callerPort, BytesView packet);
 
     void tick(TimePoint now);
@@ -24,7 +24,7 @@
 
 private:
     struct BalancerHealth {
-        int missedProbes = 2; // In a row; out until it answers.
+        int missedProbes = 2; // Consecutive ones. Unhealthy until the first answer.
     };
     struct DelayedPacket {
         TimePoint sendAt;
@@ -37,7 +37,7 @@
     boost::asio::io_context &m_io;
     Topology m_topology;
     Random m_random;
-    DatagramSocket m_socket; // Of all callers, at the port where balancers and targets answer.
+    DatagramSocket m_socket; // Shared by all callers; balancers and targets answer to its port.
     std::vector<BalancerHealth> m_balancers;
     std::deque<DelayedPacket> m_delayed;
     TimePoint m_nextProbeAt;
--- a/soak/fault_proxy.cpp
+++ b/soak/fault_proxy.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Bytes that are held back stay unread at most this long before the proxy looks again.
+// Interval at which a stalled connection checks whether it may forward again.
 constexpr milliseconds StallPollInterval{20};
 
 Tcp::endpoint toTcp(Endpoint endpoint)
@@ -24,7 +24,7 @@
 
 } // namespace
 
-// One connection: two directions, each with at most one buffer under way. Keeps itself alive by its handlers.
+// One proxied connection, with at most one buffer in flight per direction. Its pending handlers keep it alive.
 class FaultProxy::Connection : public std::enable_shared_from_this<FaultProxy::Connection>
 {
 public:
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Fault proxy: stands between a replica's link port and those who dial it, and misbehaves on demand.
+// Fault proxy: forwards connections to a replica's link port and injects link faults on demand.
 #pragma once
 
 #include "soak_types.h"
@@ -11,13 +11,13 @@
 
 namespace Robinrail::Soak {
 
-// What a proxy does to bytes. Connections follow the present fault, new ones included.
+// Faults that a proxy injects. The current fault applies to all connections, new ones included.
 enum class LinkFault : std::uint8_t {
     None,
-    Delayed, // Bytes come late, in order.
-    Stalled, // Nothing passes in either direction, and nothing is closed.
-    ReplicaOutputStalled, // Nothing passes from the replica to those who dialled.
-    ExistingConnectionsStalled, // Connections that are open now fall silent for good; new ones work.
+    Delayed, // Bytes are delayed but stay in order.
+    Stalled, // Nothing is forwarded in either direction, and connections stay open.
+    ReplicaOutputStalled, // Nothing is forwarded from the replica to its peers.
+    ExistingConnectionsStalled, // Connections open at this moment stall permanently; new ones work.
 };
 
 class FaultProxy
@@ -27,7 +27,7 @@
 
     void setFault(LinkFault fault, milliseconds delay);
 
-    // Breaks all connections off.
+    // Closes all connections with a TCP reset.
     void resetConnections();
 
 private:
--- a/soak/fault_schedule.cpp
+++ b/soak/fault_schedule.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-// Fault schedule: implementation.
+// Fault scheduler: implementation.
 #include "fault_schedule.h"
 
 namespace Robinrail::Soak {
 
 namespace {
 
-// A trouble's length, and the pause until the next one begins: two or three overlap most of the time.
+// Duration of a fault, and interval between the beginnings of two faults: two or three overlap most of the time.
 constexpr milliseconds MinFaultDuration{200};
 constexpr milliseconds MaxFaultDuration{3500};
 constexpr milliseconds MinFaultInterval{100};
@@ -15,7 +15,8 @@
 constexpr milliseconds MinLinkDelay{20};
 constexpr milliseconds MaxLinkDelay{400};
 
-// A crashed target's address is free for this long at least, and a target that restarts at once needs so long.
+// How long the address of a crashed target stays unused at least: the long time normally, the short one for a target that
+// restarts at once.
 constexpr milliseconds LongTargetDowntime{2500};
 constexpr milliseconds ShortTargetDowntime{300};
 
@@ -154,8 +155,8 @@
     }
 }
 
-// One disk may be lost at a time, with the time that its successor needs to catch up: the others must have
-// been out of trouble for a while.
+// Only one disk may be lost at a time, including the time that the wiped replica needs to catch up: no other replica may have
+// a recent fault.
 void FaultScheduler::wipeReplica(TimePoint now)
 {
     const std::optional<std::size_t> victim = randomFaultableNode(true);
--- a/soak/fault_schedule.h
+++ b/soak/fault_schedule.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Fault schedule: draws troubles by lot, in series and overlapping, within what the deployment must bear.
+// Fault scheduler: injects random faults, successive and overlapping, within what the deployment must tolerate.
 #pragma once
 
 #include "node_herd.h"
@@ -21,7 +21,7 @@
                    const FaultTracker &faults,
                    std::uint64_t seed);
 
-    // Begins what is due.
+    // Injects the next fault if it is due.
     void tick(TimePoint now);
 
     std::size_t injectedFaults() const;
--- a/soak/main_soak.cpp
+++ b/soak/main_soak.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// robinrail-soak: plays seeds of trouble against the real programs and checks what callers, targets and
-// operators see.
+// robinrail-soak: injects faults by seeded random choice into the real programs and checks the invariants that callers,
+// targets and operators rely on.
 #include "arguments.h"
 #include "log.h"
 #include "network_claim.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr const char *Usage = R"(robinrail-soak: plays troubles by lot against the real programs, on loopback.
+constexpr const char *Usage = R"(robinrail-soak: injects random faults into the real programs, on loopback.
 
 Usage:
   robinrail-soak --programs=DIR --work=DIR [options]
@@ -22,26 +22,26 @@
 
 Options:
   --programs=DIR    Where robinrail-platform-balancer and robinrail-platform-control are.
-  --work=DIR        Settings, logs and data, one folder a seed; kept when a promise was broken.
+  --work=DIR        Settings, logs and data, one folder per seed; kept if an invariant was violated.
   --seed=N          First seed [default: 1].
-  --seeds=N         How many seeds, one after the other [default: 1].
-  --seconds=N       How long troubles begin, for each seed [default: 20].
+  --seeds=N         Number of consecutive seeds [default: 1].
+  --seconds=N       How long faults are injected, for each seed [default: 20].
   --replicas=N      Replicas, an odd number [default: 3].
   --balancers=N     Balancers [default: 4].
   --targets=N       Targets, an even number [default: 10].
   --callers=N       Callers [default: 30].
-  --network=N       Second number of all loopback addresses, 16 to 254; 0: drawn from the
-                    process's id, so that runs side by side never meet [default: 0].
+  --network=N       Second octet of all loopback addresses, 16 to 254; 0: derived from the
+                    process ID, so that concurrent runs don't collide [default: 0].
   -h --help         Show this text.
   --version         Show the version.
 
-Ends with "seeds: N kept, N broken". Exit codes: 0 all promises kept, 1 some broken, 2 bad arguments.
+Ends with "seeds: N kept, N broken". Exit codes: 0 all invariants held, 1 violations, 2 bad arguments.
 )";
 
 constexpr int ExitViolations = 1;
 constexpr int ExitBadArguments = 2;
 
-// Loopback networks that runs may take; those below are used by the other tests.
+// Loopback networks for soak runs; other tests use lower ones.
 constexpr std::uint8_t FirstNetwork = 16;
 constexpr std::uint8_t LastNetwork = 254;
 
@@ -50,7 +50,7 @@
     return static_cast<std::uint8_t>(FirstNetwork + ::getpid() % (LastNetwork - FirstNetwork + 1));
 }
 
-// The largest number of an option, and the least.
+// Range of a numeric option, both ends included.
 struct Range {
     long min = 1;
     long max = 1;
@@ -65,7 +65,7 @@
         number = range.min - 1;
     }
     if (number < range.min || number > range.max) {
-        std::cerr << option << ": want a whole number from " << range.min << " to " << range.max << '\n';
+        std::cerr << option << ": must be an integer from " << range.min << " to " << range.max << '\n';
         std::exit(ExitBadArguments);
     }
     return static_cast<std::size_t>(number);
--- a/soak/network_claim.h
+++ b/soak/network_claim.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Network claim: a loopback network that no other run on this machine uses while this one holds it.
+// Loopback network lock: reserves a loopback network against other runs on this machine.
 //
-// Runs derive where they begin to look from their process numbers, which repeat modulo the number of networks: two runs side
-// by side met in one of 200 or so on a busy machine, and the second could not bind its targets' addresses.
+// Runs derive the first network to try from their process IDs, modulo the number of networks. With about 200 networks, two
+// concurrent runs on a busy machine got the same one, and the second could not bind the addresses of its targets.
 #pragma once
 
 #include "soak_types.h"
@@ -14,7 +14,8 @@
 class LoopbackNetworkLock
 {
 public:
-    // Takes the first free one of the networks from `first` to `last`, looking from `begin` on and around; 0 if none is free.
+    // Locks the first free network between `first` and `last`, trying from `start` on with wrap-around. If none is free, network()
+    // returns 0.
     LoopbackNetworkLock(boost::asio::io_context &io, std::uint8_t first, std::uint8_t last, std::uint8_t start)
         : m_acceptor(io)
     {
@@ -33,7 +34,7 @@
     }
 
 private:
-    // Whoever listens at a network's own address has it; the kernel lets it go with the process.
+    // The process that listens at the first address of a network holds the lock. The kernel releases it when the process ends.
     bool tryBind(std::uint8_t network)
     {
         using Tcp = boost::asio::ip::tcp;
--- a/soak/node_herd.cpp
+++ b/soak/node_herd.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Node herd: implementation.
+// Node supervisor: implementation.
 #include "node_herd.h"
 
 #include "log.h"
@@ -22,19 +22,19 @@
 
 namespace {
 
-// From the request to end to the kill, as small deployments set it, and what a busy machine may add.
+// Time between SIGTERM and SIGKILL as small deployments set it, and a margin for a busy machine.
 constexpr milliseconds TerminationGrace{6000};
 constexpr Duration TerminationSlack = seconds(3);
 
-// Bytes of a record that a loss of power cut short.
+// Length of a record that a power failure cut short.
 constexpr std::size_t TornRecordBytes = 11;
 
-// The disk refuses to work for so long after a restart.
+// How long the storage fails after a restart.
 constexpr Duration StorageFailureTime = seconds(2);
 
 constexpr int AnnounceIntervalMs = 770;
 
-// The file that names itself in place of a data folder, so that nothing can be opened in it.
+// Where the data folder is moved while a plain file has its name, so that nothing can be opened in it.
 fs::path displacedDataPath(const fs::path &data)
 {
     return data.string() + ".aside";
@@ -106,10 +106,10 @@
 void NodeSupervisor::start(TimePoint /*now*/, Node &node)
 {
     const fs::path log = m_work / (node.name + ".log");
-    // Appended to: a node's runs follow each other in one log.
+    // Opened for appending: one log holds all runs of a node.
     std::FILE *const output = std::fopen(log.c_str(), "a");
     const std::string settings = "--settings=" + (m_work / (node.name + ".json")).string();
-    // The programs must not outlive the soak, however it ends, nor keep sockets of targets that have ended open.
+    // The programs must not outlive the soak, however it ends, nor keep inherited sockets of stopped targets open.
     const auto endWithParent = process::extend::on_exec_setup([](auto &) {
         ::prctl(PR_SET_PDEATHSIG, SIGKILL);
         ::close_range(STDERR_FILENO + 1, ~0U, CLOSE_RANGE_CLOEXEC);
@@ -162,7 +162,7 @@
     });
 }
 
-// ---- Troubles ----
+// ---- Faults ----
 
 void NodeSupervisor::kill(TimePoint now, std::size_t number, milliseconds duration)
 {
@@ -218,7 +218,7 @@
     fs::create_directories(m_nodes[replica].data);
 }
 
-// A record of which only the beginning reached the disk stands at the log's end.
+// Appends the beginning of a record to the log, as an interrupted write leaves it.
 void NodeSupervisor::killAndTearLog(TimePoint now, std::size_t replica, milliseconds duration)
 {
     kill(now, replica, duration);
@@ -265,7 +265,7 @@
     m_faults.end(now, m_nodes[replica].address);
 }
 
-// ---- Time ----
+// ---- Timers ----
 
 void NodeSupervisor::tick(TimePoint now)
 {
@@ -280,10 +280,10 @@
     std::error_code ignored;
     const bool running = node.state != State::Down && node.child.running(ignored);
     if (node.state == State::Terminating && running && now >= node.terminateDeadline) {
-        m_violations.report("a node ends when it is asked to", node.name);
+        m_violations.report("a node ends in time after SIGTERM", node.name);
         killProcess(node);
     } else if ((node.state == State::Running || node.state == State::Paused) && !running) {
-        m_violations.report("a node does not end by itself", node.name + " with " + std::to_string(node.child.exit_code()));
+        m_violations.report("a node does not exit on its own", node.name + " exited with code " + std::to_string(node.child.exit_code()));
         m_faults.begin(now, node.address);
         node.state = State::Down;
         node.nextActionAt = now;
--- a/soak/node_herd.h
+++ b/soak/node_herd.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Node herd: the real programs as child processes, with their settings, data folders and proxies, and what is
-// done to them from outside. Ends only what it started.
+// Node supervisor: runs the real programs as child processes, with their settings, data folders and fault proxies, and injects
+// faults into them. Signals only processes that it started.
 #pragma once
 
 #include "fault_proxy.h"
@@ -16,7 +16,7 @@
 class NodeSupervisor
 {
 public:
-    // Programs are taken from one folder; settings, logs and data go to another one.
+    // `programs` is the folder of the executables; settings, logs and data are written to `work`.
     NodeSupervisor(boost::asio::io_context &io,
                    const Topology &topology,
                    FaultTracker &faults,
@@ -27,56 +27,58 @@
     NodeSupervisor(const NodeSupervisor &) = delete;
     NodeSupervisor &operator=(const NodeSupervisor &) = delete;
 
-    // Starts all for the first time.
+    // Starts all nodes for the first time.
     void startAll(TimePoint now);
 
     void tick(TimePoint now);
 
-    // Nodes are numbered from the replicas on: 0 is the first replica, plan.replicas the first balancer.
+    // Nodes are numbered from 0: first the replicas, then the balancers.
     std::size_t size() const;
     bool isReplica(std::size_t node) const;
-    bool canInjectFault(std::size_t node) const; // Runs, and nothing is being done to it.
+    bool canInjectFault(std::size_t node) const; // Runs, without a fault of its process or storage.
 
-    // What is done to a node, which must be idle. It runs again, or as before, after `length`.
+    // Faults of a process. canInjectFault() must hold. The node is restarted or resumed after `duration`.
     void kill(TimePoint now, std::size_t node, milliseconds duration);
     void terminate(TimePoint now, std::size_t node, milliseconds duration);
     void pause(TimePoint now, std::size_t node, milliseconds duration);
+
+    // Make a node reload its settings, or change the seed nodes in its settings; allowed in any state of the node.
     void sendHangup(std::size_t node);
     void rewriteSeedNodes(std::size_t node, std::size_t firstSeedNode);
 
-    // The same, for replicas: the disk is lost, its last write is torn, or it refuses to work for a while
-    // after the restart.
+    // Kill a replica; in addition its disk is lost, its last write is torn, or its storage fails for a while after the restart.
+    // canInjectFault() must hold.
     void killAndWipeDisk(TimePoint now, std::size_t replica, milliseconds duration);
     void killAndTearLog(TimePoint now, std::size_t replica, milliseconds duration);
     void killAndFailStorage(TimePoint now, std::size_t replica, milliseconds duration);
 
-    // Links of a replica misbehave for a while.
+    // Faults of the links of a replica: `fault` for `duration`, or a reset of all connections.
     void injectLinkFault(TimePoint now, std::size_t replica, LinkFault fault, milliseconds delay, milliseconds duration);
     void resetConnections(TimePoint now, std::size_t replica);
 
-    // Everything that was begun ends now.
+    // Makes all active faults end at the next tick, except that a terminating node still ends by itself first.
     void endAllFaults(TimePoint now);
 
-    // Whether nothing is being done to any node.
+    // Whether all nodes run and none has an active fault.
     bool faultFree() const;
 
 private:
     enum class State : std::uint8_t {
         Running,
-        Down, // Killed; starts again when it is due.
-        Terminating, // Asked to end.
+        Down, // Has ended; restarted at nextActionAt.
+        Terminating, // Got SIGTERM, still running.
         Paused,
     };
     struct Node {
         std::string name;
         std::uint32_t address = 0;
         std::filesystem::path program;
-        std::filesystem::path data; // Of a replica.
+        std::filesystem::path data; // Only for replicas.
         boost::process::child child;
         State state = State::Down;
-        TimePoint nextActionAt; // Of the next start, or of the pause's end.
-        TimePoint terminateDeadline; // Of a node that was asked to end.
-        std::optional<TimePoint> storageRestoreAt; // The disk works again from then on.
+        TimePoint nextActionAt; // When to restart or to resume.
+        TimePoint terminateDeadline; // After SIGTERM.
+        std::optional<TimePoint> storageRestoreAt; // Set while the storage fails.
         std::unique_ptr<FaultProxy> proxy;
         std::optional<TimePoint> linkFaultEndAt;
         std::size_t firstSeedNode = 0;
--- a/soak/operator_call.h
+++ b/soak/operator_call.h
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: MIT
-// Operator call: one call of a stand-in operator, which follows redirections to the leader.
+// Operator call: an HTTP call of a simulated operator, which follows redirects to the leader.
 #pragma once
 
 #include "http.h"
 
 namespace Robinrail::Soak {
 
-// Statuses of answers.
+// HTTP status codes.
 inline constexpr unsigned Ok = 200;
 inline constexpr unsigned TemporaryRedirect = 307;
 
-// A call without a clear answer is made again after a pause that doubles from the first to the longest.
+// A call without a definite answer is retried after a delay that doubles from the first to the maximum.
 inline constexpr Duration FirstRetryDelay = std::chrono::milliseconds(50);
 inline constexpr Duration MaxRetryDelay = std::chrono::milliseconds(800);
 
-// Calls a replica, and the one that it redirects to, twice at most.
+// Calls a replica and follows at most two redirects; `redirects` counts those followed so far.
 void callLeader(boost::asio::io_context &io, Endpoint replica, const HttpRequest &request, const HttpDone &done, int redirects = 0);
 
 } // namespace Robinrail::Soak
--- a/soak/operator_desk.cpp
+++ b/soak/operator_desk.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Operator desk: implementation.
+// Routing operator: implementation.
 #include "operator_desk.h"
 
 #include "operator_call.h"
@@ -11,17 +11,17 @@
 
 namespace {
 
-// Statuses that end a call at once, as the platform's operators take them.
+// Status codes after which the platform's operators don't retry.
 bool isRejection(unsigned status)
 {
     return status == 400 || status == 409 || status == 412 || status == 413 || status == 422;
 }
 
-// Between two changes drawn by lot, and between two reads.
+// Time between two random changes at most, and between two reads.
 constexpr milliseconds MaxChangeInterval{900};
 constexpr Duration ReadInterval = milliseconds(300);
 
-// Shares of changes that come as a pair, that are invalid, and that repeat an older document.
+// Probabilities that a change is one of a concurrent pair, is invalid, or resubmits an older document.
 constexpr double ConcurrentProbability = 0.2;
 constexpr double InvalidProbability = 0.15;
 constexpr double ResubmitProbability = 0.1;
@@ -69,13 +69,13 @@
     m_lastVersion += 1 + uniformIndex(m_random, 3);
     m_sentDocuments[m_lastVersion] = Platform::writeDocument(makeTable(m_lastVersion));
     if (withChangingRoute) {
-        m_versionsWithRoute.insert(m_lastVersion);
+        m_versionsWithChangingRoute.insert(m_lastVersion);
     }
     updateRouteRemoval(now);
     enqueue(now, m_lastVersion, m_sentDocuments[m_lastVersion], true);
 }
 
-// A document that names an unknown service, has a route twice, or is cut short.
+// Submits a document that has a duplicate route, refers to undefined services, or is truncated.
 void RoutingOperator::submitInvalidDocument(TimePoint now)
 {
     RoutingTable table = makeTable(m_lastVersion + 1);
@@ -137,12 +137,12 @@
     const TimePoint now = monotonicNow();
     const bool accepted = reply && reply->status == Ok;
     if (accepted && !submission->valid) {
-        m_violations.report("an invalid document is refused", submission->text.substr(0, 200));
+        m_violations.report("an invalid document is rejected", submission->text.substr(0, 200));
     } else if (accepted) {
         m_acknowledged = std::max(m_acknowledged, submission->version);
         updateRouteRemoval(now);
     } else if (reply && isRejection(reply->status) && submission->valid) {
-        m_violations.report("a valid document is taken", std::to_string(submission->version) + ": " + reply->body);
+        m_violations.report("a valid document is accepted", std::to_string(submission->version) + ": " + reply->body);
     }
     if (accepted || (reply && isRejection(reply->status))) {
         std::erase(m_pending, submission);
@@ -154,7 +154,7 @@
     submission->retryDelay = std::min(submission->retryDelay * 2, MaxRetryDelay);
 }
 
-// ---- Reading back ----
+// ---- Reads ----
 
 void RoutingOperator::requestRead(TimePoint /*now*/)
 {
@@ -175,11 +175,11 @@
     const std::uint64_t version = document.is_object() ? document.value("version", std::uint64_t{0}) : 0;
     m_highestRead = std::max(m_highestRead, version);
     if (version < minVersion) {
-        m_violations.report("a read gives the newest document", "version " + std::to_string(version) + ", known " + std::to_string(minVersion));
+        m_violations.report("a read returns the newest document", "version " + std::to_string(version) + ", expected at least " + std::to_string(minVersion));
     }
     const auto sent = m_sentDocuments.find(version);
     if (version != 0 && (sent == m_sentDocuments.end() || sent->second != reply.body)) {
-        m_violations.report("a document is read as it was sent", "version " + std::to_string(version));
+        m_violations.report("a read returns a document as it was sent", "version " + std::to_string(version));
     }
     m_finalReadSucceeded = m_finalReadSucceeded || (isFinalRead && version >= m_acknowledged);
 }
@@ -197,7 +197,7 @@
 
 void RoutingOperator::updateRouteRemoval(TimePoint now)
 {
-    const bool removed = m_acknowledged > 0 && m_versionsWithRoute.lower_bound(m_acknowledged) == m_versionsWithRoute.end();
+    const bool removed = m_acknowledged > 0 && m_versionsWithChangingRoute.lower_bound(m_acknowledged) == m_versionsWithChangingRoute.end();
     m_routeRemovedSince = removed ? std::optional(m_routeRemovedSince.value_or(now)) : std::nullopt;
 }
 
--- a/soak/operator_desk.h
+++ b/soak/operator_desk.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Operator desk: stand-in operators that send routing documents, good and bad ones, resend them, race each
-// other, and read back what was acknowledged.
+// Routing operator: simulated operators that submit valid and invalid routing documents, resubmit old ones, submit
+// concurrently, and read back what was acknowledged.
 #pragma once
 
 #include "http.h"
@@ -20,18 +20,18 @@
 
     void tick(TimePoint now);
 
-    // Sends one more document, with or without the changing route. Documents drawn by lot keep that as it is.
+    // Submits a new document with or without the changing route. Random changes leave that route as it is.
     void submitChange(TimePoint now, bool withChangingRoute);
 
-    // Draws no more documents by lot; those under way go on.
+    // Submits no further random changes; pending submissions continue.
     void finish();
 
-    // Whether nothing is under way and a read after that gave the newest acknowledged document.
+    // Whether, after finish(), a read that began with no submission pending returned the newest acknowledged document.
     bool finalReadSucceeded() const;
 
     std::uint64_t acknowledged() const;
 
-    // Since when the changing route must be gone: no document that may be in force has it.
+    // Since when no document that may be in force has the changing route; empty as long as one may have it.
     std::optional<TimePoint> routeRemovedSince() const;
 
     std::size_t reads() const;
@@ -60,11 +60,11 @@
     Topology m_topology;
     Violations &m_violations;
     Random m_random;
-    std::uint64_t m_lastVersion = 0; // Highest one sent.
+    std::uint64_t m_lastVersion = 0; // Highest version submitted.
     std::uint64_t m_acknowledged = 0;
-    std::uint64_t m_highestRead = 0; // Highest one that a read gave.
-    std::map<std::uint64_t, std::string> m_sentDocuments; // Valid texts by version.
-    std::set<std::uint64_t> m_versionsWithRoute; // Versions that have the changing route.
+    std::uint64_t m_highestRead = 0; // Highest version that a read returned.
+    std::map<std::uint64_t, std::string> m_sentDocuments; // Valid documents by version.
+    std::set<std::uint64_t> m_versionsWithChangingRoute;
     std::optional<TimePoint> m_routeRemovedSince;
     std::vector<std::shared_ptr<Submission>> m_pending;
     bool m_changingRoute = false;
--- a/soak/replica_watch.cpp
+++ b/soak/replica_watch.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica watch: implementation.
+// Replica version checker: implementation.
 #include "replica_watch.h"
 
 #include "http.h"
@@ -79,7 +79,7 @@
                   });
 }
 
-// Asked only of a replica that was out of trouble for the contact time, and while the others have had a quorum as long.
+// Checks only replicas without a fault within FaultGracePeriod, and only if a majority of all replicas had none either.
 void ReplicaVersionChecker::checkVersion(TimePoint queriedAt, std::size_t replica, std::uint64_t requiredVersion, std::uint64_t version)
 {
     const TimePoint now = monotonicNow();
@@ -89,8 +89,9 @@
     }
     ++m_checkedAnswers;
     if (version < requiredVersion) {
-        m_violations.report("a replica holds what was acknowledged",
-                            "replica " + std::to_string(replica) + " holds " + std::to_string(version) + " of " + std::to_string(requiredVersion));
+        m_violations.report("a replica has reached the acknowledged version",
+                            "replica " + std::to_string(replica) + " has version " + std::to_string(version) + ", expected at least "
+                                + std::to_string(requiredVersion));
     }
 }
 
--- a/soak/replica_watch.h
+++ b/soak/replica_watch.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Replica watch: asks each replica which version it has in force, and holds it to what was acknowledged before.
+// Replica version checker: polls the routing version in force at each replica and compares it with the acknowledged ones.
 #pragma once
 
 #include "soak_types.h"
@@ -10,10 +10,10 @@
 
 namespace Robinrail::Soak {
 
-// The routing version that a replica's metrics show; empty if they show none.
+// The routing version in the metrics of a replica; empty if they have none.
 std::optional<std::uint64_t> parseRoutingVersion(std::string_view metrics);
 
-// The highest version that each replica must hold by now: what was acknowledged ApplyDeadline ago.
+// The version that each replica must have reached by now: the highest one acknowledged at least ApplyDeadline ago.
 class AcknowledgedVersions
 {
 public:
@@ -34,10 +34,10 @@
 public:
     ReplicaVersionChecker(boost::asio::io_context &io, const Topology &topology, const FaultTracker &faults, Violations &violations);
 
-    // `acknowledged`: the highest version that an operator was told of.
+    // `acknowledged`: the highest version acknowledged to an operator.
     void tick(TimePoint now, std::uint64_t acknowledged);
 
-    // Answers that were judged.
+    // Answers that were compared; those of replicas with a recent fault are not.
     std::size_t checkedAnswers() const;
 
 private:
--- a/soak/soak_run.cpp
+++ b/soak/soak_run.cpp
@@ -17,23 +17,24 @@
 
 namespace {
 
-// All balancers must be ready for the first time within this.
+// Time limit until all balancers are ready and the first request is answered.
 constexpr Duration StartDeadline = seconds(20);
 
-// Once the troubles are over, this share of requests must be answered again.
+// Share of recent requests that must be answered for service to count as recovered.
 constexpr double MinRecoveredSuccessRate = 0.97;
 
-// The last phase: long enough for a change to be in force, a read to be sure, and a flow to be refused.
+// Time limit of the last phase: enough for a change to come into force, for a read to confirm it, and for a flow to be refused
+// and opened again.
 constexpr Duration FinalChangeDeadline = RecoveryDeadline + FaultGracePeriod;
 
-// Each part of a run draws from a stream of its own, so that one more draw in one changes no other.
-std::uint64_t randomStream(std::uint64_t seed, std::uint64_t part)
+// Each component draws from its own random stream, so that an additional draw in one doesn't affect the others.
+std::uint64_t streamSeed(std::uint64_t seed, std::uint64_t component)
 {
     constexpr std::uint64_t Streams = 16;
-    return seed * Streams + part;
+    return seed * Streams + component;
 }
 
-// Later seeds tell a node that starts again of a majority of the replicas only.
+// From FirstRunWithPartialSeedNodes on, the settings of a restarted node list only a majority of the replicas.
 RunOptions withSeedNodes(RunOptions options)
 {
     const std::size_t replicas = options.topology.replicas;
@@ -47,13 +48,13 @@
     explicit SoakRun(const RunOptions &options)
         : m_options(withSeedNodes(options))
         , m_nodes(m_io, m_options.topology, m_faults, m_violations, options.programs, options.work)
-        , m_targets(m_io, options.topology, m_faults, m_violations, randomStream(options.seed, 1))
-        , m_callers(m_io, options.topology, m_targets, m_violations, randomStream(options.seed, 2))
-        , m_routingOperator(m_io, options.topology, m_violations, randomStream(options.seed, 4))
-        , m_drainOperator(m_io, options.topology, m_violations, randomStream(options.seed, 6))
+        , m_targets(m_io, options.topology, m_faults, m_violations, streamSeed(options.seed, 1))
+        , m_callers(m_io, options.topology, m_targets, m_violations, streamSeed(options.seed, 2))
+        , m_routingOperator(m_io, options.topology, m_violations, streamSeed(options.seed, 4))
+        , m_drainOperator(m_io, options.topology, m_violations, streamSeed(options.seed, 6))
         , m_replicaVersions(m_io, options.topology, m_faults, m_violations)
-        , m_restartRandom(randomStream(options.seed, 7))
-        , m_faultScheduler(options.topology, m_nodes, m_targets, m_routingOperator, m_faults, randomStream(options.seed, 5))
+        , m_restartRandom(streamSeed(options.seed, 7))
+        , m_faultScheduler(options.topology, m_nodes, m_targets, m_routingOperator, m_faults, streamSeed(options.seed, 5))
         , m_timer(m_io)
     {
     }
@@ -80,10 +81,10 @@
 
 private:
     enum class Phase : std::uint8_t {
-        Starting, // Until all balancers are ready and callers are served.
+        Starting, // Until all balancers are ready and a request was answered.
         InjectingFaults,
-        Recovering, // Until callers are served again.
-        VerifyingFinalChange, // Until the last change is in force and read back.
+        Recovering, // Until all faults have ended and requests are answered again.
+        VerifyingFinalChange, // Until the final change is in force and was read back.
         Ended,
     };
 
@@ -175,7 +176,7 @@
         }
         if (expired) {
             const char *const invariant = m_phase == Phase::VerifyingFinalChange ? "the newest change is in force and read back" : "service is back in time";
-            m_violations.report(invariant, "served of late " + std::to_string(m_callers.recentSuccessRate(now)));
+            m_violations.report(invariant, "recent success rate " + std::to_string(m_callers.recentSuccessRate(now)));
             enter(Phase::Ended, Duration{0});
         }
     }
@@ -190,7 +191,7 @@
     RoutingOperator m_routingOperator;
     DrainOperator m_drainOperator;
     ReplicaVersionChecker m_replicaVersions;
-    Random m_restartRandom; // Of targets, under their keys.
+    Random m_restartRandom; // For restarts of targets under their previous keys.
     TimePoint m_nextRestartAt;
     FaultScheduler m_faultScheduler;
     boost::asio::steady_timer m_timer;
--- a/soak/soak_run.h
+++ b/soak/soak_run.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Soak run: one seed from the start of the programs to the verdict.
+// Soak run: runs one seed, from the start of the programs to the result.
 #pragma once
 
 #include "soak_types.h"
@@ -11,12 +11,12 @@
 struct RunOptions {
     Topology topology;
     std::uint64_t seed = 1;
-    seconds faultInjectionTime{20}; // Troubles begin for so long.
-    std::filesystem::path programs; // Folder of the real programs.
+    seconds faultInjectionTime{20}; // For how long new faults are injected.
+    std::filesystem::path programs; // Folder of the programs under test.
     std::filesystem::path work; // Settings, logs and data of this run.
 };
 
-// Whether all promises were kept.
+// Returns whether all invariants held.
 bool runSoak(const RunOptions &options);
 
 } // namespace Robinrail::Soak
--- a/soak/soak_types.h
+++ b/soak/soak_types.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Soak types: the deployment that the fault soak plays, and the record of promises that were broken.
+// Soak types: topology and time limits of the simulated deployment, violations of invariants, and the faults in progress.
 #pragma once
 
 #include "flow_packet.h"
@@ -19,17 +19,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Bounds of the promises, as small deployments set them: after this without trouble near it a node must keep
-// them, a drain or a change must be in force, and service must be back.
+// Time limits of the checks, as small deployments set them: how long after its last fault a node is checked again, and within
+// which time a drain or a change must be in force and service must have recovered.
 inline constexpr Duration FaultGracePeriod = seconds(4);
 inline constexpr Duration DrainDeadline = seconds(3);
 inline constexpr Duration ApplyDeadline = seconds(3);
 inline constexpr Duration RecoveryDeadline = seconds(12);
 
-// A replica that lost its disk counts as lost for this long after its start.
+// A replica that lost its disk counts as failed for this long after its restart.
 inline constexpr Duration CatchUpTime = seconds(4);
 
-// The steps of all stand-ins' clocks.
+// Interval between two ticks of all simulated parties.
 inline constexpr milliseconds TickInterval{10};
 
 using Random = pcg64;
@@ -39,7 +39,7 @@
     return std::uniform_real_distribution<double>(0, 1)(random) < probability;
 }
 
-// A whole number from 0 up to `count` - 1.
+// A uniformly distributed index below `count`.
 inline std::size_t uniformIndex(Random &random, std::size_t count)
 {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(random);
@@ -50,20 +50,20 @@
     return milliseconds(std::uniform_int_distribution<std::int64_t>(min.count(), max.count())(random));
 }
 
-// Who has which address. A run has a loopback network of its own, so that runs side by side never meet.
+// Number and addresses of all nodes. Each run has a loopback network of its own, so that concurrent runs can't reach each other.
 struct Topology {
-    std::uint8_t network = 0; // The second number of each address, 127.x.
+    std::uint8_t network = 0; // Second octet of all addresses, 127.x.
     std::size_t replicas = 3;
     std::size_t balancers = 4;
     std::size_t targets = 10;
     std::size_t callers = 30;
-    std::size_t seedNodes = 3; // Replicas that the settings of a node name, after the first start.
+    std::size_t seedNodes = 3; // Number of replicas listed in the settings of a restarted node.
 
     static constexpr std::uint16_t ControlPort = 8166;
     static constexpr std::uint16_t ReadinessPort = 8167;
     static constexpr std::uint16_t PacketPort = 8172;
-    static constexpr std::uint16_t LinkPort = 7720; // Where a proxy takes links for a replica.
-    static constexpr std::uint16_t ReplicaLinkPort = 7721; // Where the replica itself takes them.
+    static constexpr std::uint16_t LinkPort = 7720; // Where the fault proxy of a replica accepts links.
+    static constexpr std::uint16_t ReplicaLinkPort = 7721; // Where the replica accepts links from its proxy.
     static constexpr std::uint16_t TargetPort = 8080;
 
     std::uint32_t address(std::uint8_t subnet, std::size_t number) const
@@ -90,30 +90,30 @@
 
 inline const std::vector<std::string> DataCentres = {"here", "there"};
 
-// The one that operators empty and take back.
+// The data centre that operators drain and restore.
 inline const std::string DrainedDataCentre = "there";
 
-// Seeds from here on also drain a data centre and let targets start again under their keys. What a lower one plays stays as
-// it was when it failed.
+// Runs with this seed or a higher one also drain a data centre and restart targets under their previous keys. Lower seeds
+// keep their sequence of events, so that recorded failures stay reproducible.
 inline constexpr std::uint64_t FirstRunWithDrains = 1000;
 
-// Seeds from here on name only a majority of the replicas in the settings of a node that starts again, so that one with an
-// empty disk may have to learn from a leader that it was not told of.
+// Runs with this seed or a higher one list only a majority of the replicas in the settings of a restarted node, so that a
+// replica with an empty disk may have to catch up from a leader that its settings don't list.
 inline constexpr std::uint64_t FirstRunWithPartialSeedNodes = 2000;
 
-// The routes that never change, one for each service, and one that comes and goes.
+// Two fixed routes, one for each service, and one that operators add and remove.
 inline const std::vector<std::string> Services = {"quotes", "decks"};
 inline constexpr Endpoint FirstRoute{0xc6120001, 443};
 inline constexpr Endpoint SecondRoute{0xc6120002, 443};
 inline constexpr Endpoint ChangingRoute{0xc6120003, 443};
 
-// What the route's service is, whatever the version.
+// The service of a route, which is the same in all versions.
 inline const std::string &serviceForRoute(Endpoint route)
 {
     return route == SecondRoute ? Services[1] : Services[0];
 }
 
-// Collects what went wrong. A promise is broken once and for all: the run fails.
+// Logs and counts violations of invariants. A single one fails the run.
 class Violations
 {
 public:
@@ -124,17 +124,18 @@
     std::size_t m_count = 0;
 };
 
-// When and where there was trouble, so that promises with a time bound are asked only of nodes out of it.
+// Tracks the faults of each node, so that invariants with a time limit are checked only on unaffected nodes.
 class FaultTracker
 {
 public:
-    // A node (by its address) is in trouble from now on, until settled() and the contact time after it.
+    // Beginning and end of a fault of the node with this address. Faults may overlap; each begin() needs an end().
     void begin(TimePoint now, std::uint32_t address);
     void end(TimePoint now, std::uint32_t address);
 
+    // Whether a fault of the node is active or the last one ended less than FaultGracePeriod ago.
     bool recentlyFaulty(TimePoint now, std::uint32_t address) const;
 
-    // Whether so few replicas are in trouble that the others have a quorum.
+    // Whether the replicas without a recent fault are a majority.
     bool replicaQuorumHealthy(TimePoint now, const Topology &topology) const;
 
 private:
--- a/soak/target_fleet.cpp
+++ b/soak/target_fleet.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Target fleet: implementation.
+// Target simulator: implementation.
 #include "target_fleet.h"
 
 #include "log.h"
@@ -16,16 +16,16 @@
 constexpr Duration AnnounceInterval = milliseconds(770);
 constexpr milliseconds CallTimeout{1000};
 
-// A drain that nobody confirms ends all the same; one that was confirmed goes on for a little.
+// A drain that no replica confirms ends after the timeout; a confirmed one lasts a little longer than DrainDeadline.
 constexpr Duration UnconfirmedDrainTimeout = seconds(9);
 constexpr Duration LingerAfterDrain = milliseconds(1500);
 
-// Bytes of an answer, of one packet, and the time that one request takes at most.
+// Limits for the filler of an answer, the data of a packet, and the processing time of a request.
 constexpr std::size_t MaxAnswerBytes = 4000;
 constexpr std::size_t PacketBytes = 1200;
 constexpr milliseconds MaxWorkTime{30};
 
-// Data without an acknowledgement is sent again after this, twice as late each time, and so often.
+// Unacknowledged data is resent up to MaxResends times, after a delay that doubles from the first to the maximum.
 constexpr Duration FirstResendDelay = milliseconds(200);
 constexpr Duration MaxResendDelay = milliseconds(1600);
 constexpr int MaxResends = 8;
@@ -84,7 +84,7 @@
         target.record.key = previous->key;
         target.record.born = previous->born + 1;
     }
-    // Half of the places belong to each service.
+    // Each service has half of the hosts.
     target.record.service = Services[host < m_hosts.size() / 2 ? 0 : 1];
     target.record.address = {m_topology.target(host), Topology::TargetPort};
     target.record.dataCentre = DataCentreId{static_cast<std::uint8_t>(1 + host % DataCentres.size())};
@@ -145,7 +145,7 @@
 {
     const Endpoint replica{m_topology.replica(host.target->replica), Topology::ControlPort};
     startHttpCall(m_io, replica, {"DELETE", Platform::targetPath(host.target->record.key), {}, {}, {}}, CallTimeout, [](const auto &) {
-        // A target that ends does not wait for the answer.
+        // A target that ends doesn't wait for the answer.
     });
     stopTarget(host);
     host.nextStartAt = now + AnnounceInterval;
@@ -218,10 +218,10 @@
     const std::optional<Platform::AddressedPacket> addressed = Platform::readAddressed(datagram);
     const std::optional<WirePacket> packet = addressed ? Platform::readPacket(addressed->packet) : std::nullopt;
     if (!packet) {
-        m_violations.report("packets stay whole", "unreadable packet at " + toText({m_topology.target(index), Topology::TargetPort}));
+        m_violations.report("packets are delivered intact", "unreadable packet at " + toText({m_topology.target(index), Topology::TargetPort}));
         return;
     }
-    // A packet for another lifetime is left alone.
+    // Ignores packets for a target that no longer runs here.
     if (!host.target || addressed->target != host.target->record.key) {
         return;
     }
@@ -247,7 +247,7 @@
         m_violations.report("a drained data centre gets no new flow", where);
     }
     if (packet.to == ChangingRoute && m_routeRemovedSince && now - *m_routeRemovedSince > ApplyDeadline && isExpectedCurrent(now, balancer)) {
-        m_violations.report("a removed route takes no new flow", where);
+        m_violations.report("a removed route gets no new flow", where);
     }
 }
 
@@ -306,7 +306,7 @@
 {
     ++m_executedRequests;
     if (!request.repeatable && !m_executedOnce.insert(request.number).second) {
-        m_violations.report("a request that must not be repeated runs once", std::to_string(request.number));
+        m_violations.report("a non-repeatable request is executed once", std::to_string(request.number));
     }
     flow.pendingAnswer = formatAnswer(request.number, target.record.service, uniformIndex(m_random, MaxAnswerBytes));
     flow.nextActionAt = now + uniformDuration(m_random, milliseconds(2), MaxWorkTime);
@@ -332,7 +332,7 @@
     }
 }
 
-// Sends all that the caller has not acknowledged.
+// Sends all data that the caller has not acknowledged.
 void TargetSimulator::transmit(TimePoint now, Host &host, const FlowMap::key_type &key, Flow &flow)
 {
     const BytesView unacknowledged(flow.unacknowledged);
@@ -350,7 +350,7 @@
     host.socket->send({packet.to.address, Topology::PacketPort}, BytesView(Platform::writePacket(packet)));
 }
 
-// ---- Questions of the callers ----
+// ---- Queries ----
 
 bool TargetSimulator::isFlowOpen(const FlowKey &flow) const
 {
--- a/soak/target_fleet.h
+++ b/soak/target_fleet.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Target fleet: stand-in targets that announce themselves, answer requests on flows, drain, crash and come back.
+// Target simulator: simulated targets that announce themselves, answer requests on flows, drain, crash and restart.
 #pragma once
 
 #include "http.h"
@@ -14,7 +14,7 @@
 
 namespace Robinrail::Soak {
 
-// What a request says, and its answer: "number repeatable" and "number service" with filler behind it.
+// A request, sent as "number repeatable". Its answer is "number service" followed by filler.
 struct TargetRequest {
     std::uint64_t number = 0;
     bool repeatable = false;
@@ -30,21 +30,21 @@
 
     void tick(TimePoint now);
 
-    // Troubles, each of a target drawn by lot: it ends without a word and another lifetime begins at its
-    // address after a pause; or it drains, leaves and is replaced.
+    // Faults of a randomly chosen target: it ends without deregistering and a new one starts at its address after `downtime`; or
+    // it drains, deregisters and is replaced.
     void crash(TimePoint now, milliseconds downtime);
     void drain(TimePoint now);
 
-    // The same as a crash, but the next lifetime has the key of the former one, and its counts begin anew.
+    // Like a crash, but the new target has the key of the previous one, and its counters restart from zero.
     void restart(TimePoint now, milliseconds downtime);
 
-    // The lifetime at which a flow opened, if that one still runs.
+    // Whether the flow is open at a running target.
     bool isFlowOpen(const FlowKey &flow) const;
 
     bool isTargetAddress(Endpoint sender) const;
 
-    // From this time on the changing route must not be there, and the drained data centre get no new flow, as far as nodes
-    // out of trouble are concerned.
+    // From ApplyDeadline after this time, balancers without a recent fault must open no new flow on the changing route or to the
+    // drained data centre.
     void setRouteRemovedSince(std::optional<TimePoint> since);
     void setDrainedSince(std::optional<TimePoint> since);
 
@@ -53,14 +53,14 @@
 private:
     struct Flow {
         FlowToken token{};
-        std::uint32_t firstSequence = 0; // Own first sequence number.
-        std::uint32_t nextSequence = 0; // Own next sequence number.
-        std::uint32_t expectedSequence = 0; // The caller's next sequence number.
+        std::uint32_t firstSequence = 0; // Of the answer to the opening packet.
+        std::uint32_t nextSequence = 0; // Of the next byte to send.
+        std::uint32_t expectedSequence = 0; // Of the next byte from the caller.
         bool open = false;
         std::uint32_t acknowledged = 0;
-        Bytes unacknowledged; // The answer's bytes from `acknowledged` on.
-        std::optional<std::string> pendingAnswer; // An answer that is being made.
-        TimePoint nextActionAt; // Of the answer, or of sending it again.
+        Bytes unacknowledged; // Bytes of the answer from `acknowledged` on.
+        std::optional<std::string> pendingAnswer; // Sent at nextActionAt, to simulate processing time.
+        TimePoint nextActionAt; // When to send or to resend the answer.
         int resends = 0;
     };
     using FlowMap = std::map<std::pair<Endpoint, Endpoint>, Flow>;
@@ -69,17 +69,18 @@
         std::size_t host = 0;
         FlowMap flows;
         TimePoint nextAnnounceAt;
-        std::size_t replica = 0; // The one that is called next.
+        std::size_t replica = 0; // Receives the next announcement.
         bool callPending = false;
         std::optional<TimePoint> drainConfirmedAt;
-        TimePoint leaveAt; // Once its drain was confirmed.
+        TimePoint leaveAt; // While draining.
     };
+    // An address at which targets run one after the other.
     struct Host {
         std::unique_ptr<DatagramSocket> socket;
         std::optional<Target> target;
-        std::unique_ptr<HttpServer> health; // Takes connections as long as a lifetime runs here, as on the platform.
-        TimePoint nextStartAt; // When the next lifetime begins.
-        std::optional<TargetLifetime> previous; // Of which the next one takes the key.
+        std::unique_ptr<HttpServer> health; // Accepts connections as long as a target runs here, as on the platform.
+        TimePoint nextStartAt; // When the next target starts.
+        std::optional<TargetLifetime> previous; // The next target takes over its key.
     };
 
     void startTarget(TimePoint now, std::size_t host);
@@ -94,6 +95,7 @@
     void transmit(TimePoint now, Host &host, const FlowMap::key_type &key, Flow &flow);
     void advanceFlows(TimePoint now, Host &host);
     void reply(Host &host, const Platform::WirePacket &packet);
+    // Whether the balancer must know the current routes, targets and drains.
     bool isExpectedCurrent(TimePoint now, std::uint32_t balancer) const;
     void checkOpening(TimePoint now, const Target &target, const Platform::WirePacket &packet, std::uint32_t balancer);
 
@@ -103,7 +105,7 @@
     Violations &m_violations;
     Random m_random;
     std::vector<Host> m_hosts;
-    std::set<std::uint64_t> m_executedOnce; // Requests that must not run again.
+    std::set<std::uint64_t> m_executedOnce; // Non-repeatable requests that were executed.
     std::optional<TimePoint> m_routeRemovedSince;
     std::optional<TimePoint> m_drainedSince;
     std::size_t m_executedRequests = 0;
--- a/tests/test_soak.cpp
+++ b/tests/test_soak.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Soak: what the fault soak judges by, and the stand-ins' packets and documents.
+// Soak: fault tracking and version checks of the fault soak, and packets and documents of the simulated parties.
 #include "document_codec.h"
 #include "fault_proxy.h"
 #include "network_claim.h"
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a node is out of trouble only a contact time after all its troubles")
+TEST_CASE("a node counts as faulty until the grace period after its last fault")
 {
     FaultTracker faults;
     CHECK_FALSE(faults.recentlyFaulty(Start, Node));
@@ -47,7 +47,7 @@
     CHECK_FALSE(faults.recentlyFaulty(Start + seconds(60) + FaultGracePeriod, Node));
 }
 
-TEST_CASE("control is calm as long as a quorum of replicas is out of trouble")
+TEST_CASE("the replica quorum is healthy as long as a majority of replicas has no recent fault")
 {
     const Topology topology;
     FaultTracker faults;
@@ -57,15 +57,15 @@
     CHECK_FALSE(faults.replicaQuorumHealthy(Start, topology));
 }
 
-TEST_CASE("a broken promise is counted and never forgotten")
+TEST_CASE("violations of invariants are counted")
 {
     Violations violations;
     CHECK(violations.count() == 0);
-    violations.report("a promise of a test", "on purpose");
+    violations.report("an invariant", "reported by a test");
     CHECK(violations.count() == 1);
 }
 
-TEST_CASE("what a stand-in caller writes is what a balancer reads")
+TEST_CASE("a balancer reads the packets that a simulated caller writes")
 {
     const Bytes data = {1, 2, 3};
     const Platform::WirePacket sent{{0x7f5a0401, 2000}, FirstRoute, FlowToken{9}, 100, 200, false, true, true, false, data};
@@ -86,7 +86,7 @@
     CHECK_FALSE(Platform::readPacket(BytesView(bytes).first(bytes.size() - 1)));
 }
 
-TEST_CASE("what stand-in operators and targets write is what a replica reads")
+TEST_CASE("a replica reads the documents and announcements that simulated operators and targets write")
 {
     std::string reason;
     const RoutingTable table = twoServiceTable();
@@ -111,7 +111,7 @@
     CHECK(read->dataCentre == record.dataCentre);
 }
 
-TEST_CASE("requests and answers of the stand-ins are told apart by their numbers")
+TEST_CASE("requests and answers of simulated callers and targets carry the number of the request")
 {
     const std::string text = formatRequest({42, true});
     const Bytes bytes(text.begin(), text.end());
@@ -123,12 +123,12 @@
     CHECK(formatAnswer(42, "decks", 3) == "42 decks xxx\n");
 }
 
-TEST_CASE("a proxy passes bytes on, holds them while silent, and breaks connections off")
+TEST_CASE("a fault proxy forwards bytes, holds them back while stalled, and resets connections")
 {
     using Tcp = boost::asio::ip::tcp;
     boost::asio::io_context io;
     Tcp::acceptor server(io, {boost::asio::ip::address_v4::loopback(), 0});
-    // A free port for the proxy, found by binding one and giving it back.
+    // A free port for the proxy, found by binding an ephemeral one and closing it.
     const std::uint16_t port = Tcp::acceptor(io, {boost::asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
     FaultProxy proxy(io, {0x7f000001, port}, {0x7f000001, server.local_endpoint().port()});
     Tcp::socket client(io);
@@ -173,9 +173,9 @@
     CHECK(disconnected);
 }
 
-TEST_CASE("runs side by side take different loopback networks, wherever they begin to look")
+TEST_CASE("concurrent runs lock different loopback networks, whichever they try first")
 {
-    constexpr std::uint8_t First = 12; // Below those that runs of the soak take.
+    constexpr std::uint8_t First = 12; // Below the networks of soak runs.
     constexpr std::uint8_t Last = 13;
     boost::asio::io_context io;
     const LoopbackNetworkLock one(io, First, Last, Last);
@@ -188,7 +188,7 @@
     CHECK(LoopbackNetworkLock(io, First, Last, Last).network() == First);
 }
 
-TEST_CASE("a version is due at each replica an apply time after its acknowledgement, and is read from metrics")
+TEST_CASE("a version is required of each replica from the apply deadline after its acknowledgement, and is read from metrics")
 {
     AcknowledgedVersions versions;
     versions.record(Start, 3);
