--- a/soak/caller_crowd.h
+++ b/soak/caller_crowd.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Caller crowd: stand-in callers that open flows, keep them for some requests, and check every answer.
+// Caller simulator: simulated callers that open flows, send several requests on each, and check every answer.
 #pragma once
 
 #include "fabric.h"
@@ -7,69 +7,69 @@
 
 namespace Robinrail::Soak {
 
-class CallerCrowd
+class CallerSimulator
 {
 public:
-    CallerCrowd(boost::asio::io_context &io, const Plan &plan, const TargetFleet &fleet, Promises &promises, std::uint64_t seed);
+    CallerSimulator(boost::asio::io_context &io, const Topology &topology, const TargetSimulator &targets, Violations &violations, std::uint64_t seed);
 
     void tick(TimePoint now);
 
-    // Requests that began in the last two seconds but the very last one, and the share of these that were
-    // answered.
-    double servedOfLate(TimePoint now) const;
+    // The share of answered requests among those that started between OutcomeMinAge + OutcomeWindow and OutcomeMinAge ago; 0 if
+    // there were none.
+    double recentSuccessRate(TimePoint now) const;
 
-    std::size_t served() const;
-    std::size_t servedOnChangingRoute() const;
-    std::size_t failed() const;
+    std::size_t completedRequests() const;
+    std::size_t completedOnChangingRoute() const;
+    std::size_t failedRequests() const;
     Fabric &fabric();
 
 private:
     struct Caller {
         bool open = false;
-        bool closed = true; // No flow: the next one begins when it is due.
+        bool idle = true; // Has no flow; opens the next one at nextActionAt.
         FlowKey flow;
         FlowToken token{};
-        int copies = 0;
-        std::uint32_t next = 0; // Own next sequence number.
-        std::uint32_t expected = 0; // The target's next sequence number.
-        std::optional<RequestText> request;
+        int openingsSent = 0;
+        std::uint32_t nextSequence = 0; // Of the next byte to send.
+        std::uint32_t expectedSequence = 0; // Of the next byte from the target.
+        std::optional<TargetRequest> request;
         std::string answer;
-        Bytes unacknowledged; // The request's packet.
-        TimePoint began; // Of the request; of the flow while it opens.
-        TimePoint due; // Of sending again, or of the next request.
-        Duration wait{}; // Before it is sent again.
-        int left = 0; // Requests to come on this flow.
+        Bytes unacknowledged; // The packet of the request, to be resent.
+        TimePoint startedAt; // Of the request, or of the flow while it is being opened.
+        TimePoint nextActionAt; // When to resend, or to begin the next request or flow.
+        Duration resendDelay{};
+        int requestsLeft = 0; // On this flow.
     };
     struct Outcome {
-        TimePoint began;
-        bool served = false;
+        TimePoint startedAt;
+        bool succeeded = false;
     };
 
     void receive(BytesView datagram, Endpoint from);
     void beginFlow(TimePoint now, Caller &caller);
     void sendOpening(TimePoint now, Caller &caller);
     void beginRequest(TimePoint now, Caller &caller);
-    void answered(TimePoint now, Caller &caller, const Platform::WirePacket &packet);
-    void take(TimePoint now, Caller &caller);
-    void resetBy(TimePoint now, Caller &caller, Endpoint sender);
-    void end(TimePoint now, Caller &caller, bool served);
+    void handleAnswerData(TimePoint now, Caller &caller, const Platform::WirePacket &packet);
+    void completeRequest(TimePoint now, Caller &caller);
+    void handleReset(TimePoint now, Caller &caller, Endpoint sender);
+    void endFlow(TimePoint now, Caller &caller, bool succeeded);
     void acknowledge(TimePoint now, const Caller &caller, bool closing);
     void send(TimePoint now, const Caller &caller, const Platform::WirePacket &packet);
-    void serve(TimePoint now, Caller &caller);
+    void advance(TimePoint now, Caller &caller);
 
-    Plan m_plan;
-    const TargetFleet &m_fleet;
-    Promises &m_promises;
+    Topology m_topology;
+    const TargetSimulator &m_targets;
+    Violations &m_violations;
     Random m_random;
     Fabric m_fabric;
     std::vector<Caller> m_callers;
-    std::map<std::uint16_t, std::size_t> m_ports; // Of the present flows, to their callers.
+    std::map<std::uint16_t, std::size_t> m_callerByPort; // Index of the caller by the source port of its current flow.
     std::uint16_t m_lastPort = 1024;
     std::uint64_t m_lastRequest = 0;
     std::deque<Outcome> m_outcomes;
-    std::size_t m_served = 0;
-    std::size_t m_servedOnChangingRoute = 0;
-    std::size_t m_failed = 0;
+    std::size_t m_completedRequests = 0;
+    std::size_t m_completedOnChangingRoute = 0;
+    std::size_t m_failedRequests = 0;
 };
 
 } // namespace Robinrail::Soak
--- a/soak/drain_orders.h
+++ b/soak/drain_orders.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Drain orders: a stand-in operator that empties a data centre, holds it so for some seconds, and takes it back, again and
-// again, each order sent until it is taken.
+// Drain operator: a simulated operator that repeatedly drains a data centre, keeps it drained for some seconds, and restores it.
+// Each command is retried until it is accepted.
 #pragma once
 
 #include "http.h"
@@ -10,47 +10,47 @@
 
 namespace Robinrail::Soak {
 
-class DrainOrders
+class DrainOperator
 {
 public:
-    DrainOrders(boost::asio::io_context &io, const Plan &plan, Promises &promises, std::uint64_t seed);
+    DrainOperator(boost::asio::io_context &io, const Topology &topology, Violations &violations, std::uint64_t seed);
 
     void tick(TimePoint now);
 
-    // Gives no more orders than it takes to have nothing drained.
+    // Begins no further drain and ends the current one.
     void finish();
 
-    // Since when the data centre must get no new flow: a replica said so, and it was not taken back since.
+    // Since when the data centre must get no new flow: when a replica accepted the drain. Empty once restoring has begun.
     std::optional<TimePoint> drainedSince() const;
 
-    // Whether nothing is drained and no order is under way.
-    bool settled() const;
+    // Whether nothing is drained and no command is pending.
+    bool idle() const;
 
-    std::size_t taken() const;
+    std::size_t acceptedCommands() const;
 
 private:
     enum class Step : std::uint8_t {
-        Resting,
-        Draining, // The order is under way.
+        Idle,
+        Draining, // The command is not accepted yet.
         Drained,
-        TakingBack,
+        Restoring,
     };
 
-    void enter(TimePoint now, Step step);
-    void call(TimePoint now);
-    void answered(Step step, const std::optional<HttpResponse> &reply);
+    void enterStep(TimePoint now, Step step);
+    void sendCommand(TimePoint now);
+    void handleReply(Step step, const std::optional<HttpResponse> &reply);
 
     boost::asio::io_context &m_io;
-    Plan m_plan;
-    Promises &m_promises;
+    Topology m_topology;
+    Violations &m_violations;
     Random m_random;
-    Step m_step = Step::Resting;
+    Step m_step = Step::Idle;
     bool m_finishing = false;
-    bool m_calling = false;
-    TimePoint m_due; // Of the next call, or of the next order.
-    Duration m_pause{};
+    bool m_callPending = false;
+    TimePoint m_nextActionAt; // When to retry the command, or to send the next one.
+    Duration m_retryDelay{};
     std::optional<TimePoint> m_drainedSince;
-    std::size_t m_taken = 0;
+    std::size_t m_acceptedCommands = 0;
 };
 
 } // namespace Robinrail::Soak
--- a/soak/soak_run.h
+++ b/soak/soak_run.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Soak run: one seed from the start of the programs to the verdict.
+// Soak run: runs one seed, from the start of the programs to the result.
 #pragma once
 
 #include "soak_types.h"
@@ -9,14 +9,14 @@
 namespace Robinrail::Soak {
 
 struct RunOptions {
-    Plan plan;
+    Topology topology;
     std::uint64_t seed = 1;
-    seconds troubleTime{20}; // Troubles begin for so long.
-    std::filesystem::path programs; // Folder of the real programs.
+    seconds faultInjectionTime{20}; // For how long new faults are injected.
+    std::filesystem::path programs; // Folder of the programs under test.
     std::filesystem::path work; // Settings, logs and data of this run.
 };
 
-// Whether all promises were kept.
+// Returns whether all invariants held.
 bool runSoak(const RunOptions &options);
 
 } // namespace Robinrail::Soak
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -249,7 +249,7 @@
     }
     advance(LinkPingInterval);
     const LinkHandle silent = near.dialled().front();
-    proxy.setFault(Soak::LinkFault::OpenSilent, {});
+    proxy.setFault(Soak::LinkFault::ExistingConnectionsStalled, {});
     const TimePoint silencedAt = now;
     while (near.linkTo(Far) == silent && now - silencedAt < LinkTimeout * 2) {
         advance(Tick);
@@ -310,7 +310,7 @@
     advanceUntil([&] {
         return now - establishedAt >= LinkPingInterval * 2;
     });
-    proxy.setFault(Soak::LinkFault::OpenSilent, {});
+    proxy.setFault(Soak::LinkFault::ExistingConnectionsStalled, {});
     const TimePoint silencedAt = now;
     REQUIRE(advanceUntil([&] {
         return closed == 1;
