--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -343,11 +343,11 @@
         const auto versions = makeVersions(size);
         const BundleOffer offer = makeOffer(&versions.first, versions.second, {});
         RolloutAgent agent;
-        agent.take(makeOffer(nullptr, versions.first, {}));
+        agent.applyOffer(makeOffer(nullptr, versions.first, {}));
         return minMicrosecondsPerCall(
             [&] {
                 RolloutAgent copy = agent;
-                copy.take(offer);
+                copy.applyOffer(offer);
             },
             2);
     });
--- a/src/balancer_daemon.cpp
+++ b/src/balancer_daemon.cpp
@@ -317,7 +317,7 @@
 
 void BalancerDaemon::handleBundleOffer(LinkHandle link, const BundleOffer &offer)
 {
-    switch (m_rollout.take(offer)) {
+    switch (m_rollout.applyOffer(offer)) {
     case OfferResult::Applied:
         if (!persistBundle()) {
             LogLine(LogLevel::Error, "bundle-not-kept").with("version", offer.version);
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -132,7 +132,7 @@
     const std::uint16_t port = freePort(io);
     HttpServer server(io, [](const HttpRequest &, const HttpResponder &respond) {
         HttpResponse reply{200, "text/plain", "go on there", {}};
-        reply.last = true;
+        reply.closeConnection = true;
         respond(reply);
     });
     REQUIRE(server.listen({Loopback, port}));
