--- a/bench/simulation.cpp
+++ b/bench/simulation.cpp
@@ -2,7 +2,7 @@
 // Simulation: implementation.
 #include "simulation.h"
 
-#include "datagram_guard.h"
+#include "datagram_authenticator.h"
 #include "hash.h"
 #include "random_draws.h"
 
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -5,7 +5,7 @@
 #include "balancer_core.h"
 #include "bundle.h"
 #include "control_state.h"
-#include "datagram_guard.h"
+#include "datagram_authenticator.h"
 #include "hash.h"
 #include "rollout.h"
 
--- a/fuzz/fuzz_record.cpp
+++ b/fuzz/fuzz_record.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Fuzz target: snapshots of the control state, and datagrams and session frames that are not authenticated yet.
 #include "control_state.h"
-#include "datagram_guard.h"
+#include "datagram_authenticator.h"
 
 #include <cstddef>
 #include <cstdint>
--- a/soak/caller_crowd.cpp
+++ b/soak/caller_simulator.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Caller simulator: implementation.
-#include "caller_crowd.h"
+#include "caller_simulator.h"
 
 #include "log.h"
 #include "settings.h"
--- a/soak/caller_crowd.h
+++ b/soak/caller_simulator.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "fabric.h"
-#include "target_fleet.h"
+#include "target_simulator.h"
 
 namespace Robinrail::Soak {
 
--- a/soak/drain_orders.cpp
+++ b/soak/drain_operator.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Drain operator: implementation.
-#include "drain_orders.h"
+#include "drain_operator.h"
 
 #include "operator_call.h"
 #include "standin_wire.h"
--- a/soak/fault_schedule.cpp
+++ b/soak/fault_scheduler.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Fault scheduler: implementation.
-#include "fault_schedule.h"
+#include "fault_scheduler.h"
 
 namespace Robinrail::Soak {
 
--- a/soak/fault_schedule.h
+++ b/soak/fault_scheduler.h
@@ -2,9 +2,9 @@
 // Fault scheduler: injects random faults, successive and overlapping, within what the deployment must tolerate.
 #pragma once
 
-#include "node_herd.h"
-#include "operator_desk.h"
-#include "target_fleet.h"
+#include "node_supervisor.h"
+#include "routing_operator.h"
+#include "target_simulator.h"
 
 #include <functional>
 #include <utility>
--- a/soak/main_soak.cpp
+++ b/soak/main_soak.cpp
@@ -3,7 +3,7 @@
 // targets and operators rely on.
 #include "arguments.h"
 #include "log.h"
-#include "network_claim.h"
+#include "loopback_network_lock.h"
 #include "soak_run.h"
 
 #include <iostream>
--- a/soak/node_herd.cpp
+++ b/soak/node_supervisor.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Node supervisor: implementation.
-#include "node_herd.h"
+#include "node_supervisor.h"
 
 #include "log.h"
 #include "settings.h"
--- a/soak/replica_watch.cpp
+++ b/soak/replica_version_checker.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Replica version checker: implementation.
-#include "replica_watch.h"
+#include "replica_version_checker.h"
 
 #include "http.h"
 
--- a/soak/operator_desk.cpp
+++ b/soak/routing_operator.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Routing operator: implementation.
-#include "operator_desk.h"
+#include "routing_operator.h"
 
 #include "operator_call.h"
 #include "standin_wire.h"
--- a/soak/soak_run.cpp
+++ b/soak/soak_run.cpp
@@ -2,14 +2,14 @@
 // Soak run: implementation.
 #include "soak_run.h"
 
-#include "caller_crowd.h"
-#include "drain_orders.h"
-#include "fault_schedule.h"
+#include "caller_simulator.h"
+#include "drain_operator.h"
+#include "fault_scheduler.h"
 #include "log.h"
-#include "node_herd.h"
-#include "operator_desk.h"
-#include "replica_watch.h"
-#include "target_fleet.h"
+#include "node_supervisor.h"
+#include "replica_version_checker.h"
+#include "routing_operator.h"
+#include "target_simulator.h"
 
 #include <boost/asio/steady_timer.hpp>
 
--- a/soak/target_fleet.cpp
+++ b/soak/target_simulator.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Target simulator: implementation.
-#include "target_fleet.h"
+#include "target_simulator.h"
 
 #include "log.h"
 #include "settings.h"
--- a/src/settled_answers.cpp
+++ b/src/answer_cache.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Answer cache: a map with first-in, first-out expiry.
-#include "settled_answers.h"
+#include "answer_cache.h"
 
 namespace Robinrail {
 
--- a/src/background_file.cpp
+++ b/src/async_file_writer.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Asynchronous file writer: implementation.
-#include "background_file.h"
+#include "async_file_writer.h"
 
 #include "durable_file.h"
 #include "log.h"
--- a/src/balancer_daemon.h
+++ b/src/balancer_daemon.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "balancer_core.h"
-#include "datagram_guard.h"
+#include "datagram_authenticator.h"
 #include "http.h"
 #include "metrics.h"
 #include "rollout.h"
--- a/src/control_daemon.h
+++ b/src/control_daemon.h
@@ -4,7 +4,7 @@
 
 #include "control_core.h"
 #include "http.h"
-#include "reach_watch.h"
+#include "reachability_tracker.h"
 #include "replica_driver.h"
 #include "rollout.h"
 #include "secure_links.h"
--- a/src/datagram_guard.cpp
+++ b/src/datagram_authenticator.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Datagram authentication: SipHash-2-4 with a key derived from the cluster key.
-#include "datagram_guard.h"
+#include "datagram_authenticator.h"
 
 #include <sodium.h>
 
--- a/src/flow_steering.h
+++ b/src/flow_steering.h
@@ -6,8 +6,8 @@
 #pragma once
 
 #include "metrics.h"
-#include "steering_choice.h"
 #include "steering_routes.h"
+#include "target_selection.h"
 
 #include <array>
 #include <vector>
--- a/src/log.cpp
+++ b/src/log.cpp
@@ -2,7 +2,7 @@
 // Log: configuration of easylogging++, and quoting.
 #include "log.h"
 
-#include "lossy_output.h"
+#include "non_blocking_line_buffer.h"
 
 #include <easylogging++.h>
 
--- a/src/node_links.h
+++ b/src/node_links.h
@@ -4,9 +4,9 @@
 #pragma once
 
 #include "dial_schedule.h"
-#include "link_silence.h"
+#include "link_activity.h"
 #include "link_traffic.h"
-#include "log_budget.h"
+#include "log_rate_limiter.h"
 #include "metrics.h"
 #include "node_message.h"
 #include "websocket_hub.h"
--- a/src/node_message.h
+++ b/src/node_message.h
@@ -3,11 +3,11 @@
 #pragma once
 
 #include "directory_digest.h"
-#include "heard_targets.h"
 #include "link_message.h"
 #include "routing_table.h"
+#include "target_leases.h"
 #include "target_record.h"
-#include "version_watch.h"
+#include "version_tracker.h"
 
 #include <array>
 #include <string_view>
--- a/src/lossy_output.cpp
+++ b/src/non_blocking_line_buffer.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Non-blocking line buffer: line splitting and writing.
-#include "lossy_output.h"
+#include "non_blocking_line_buffer.h"
 
 #include <climits>
 #include <poll.h>
--- a/src/offload_windows.cpp
+++ b/src/offload_deduplicator.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Offload deduplication: recording and pruning of attempts.
-#include "offload_windows.h"
+#include "offload_deduplicator.h"
 
 #include "hash.h"
 
--- a/src/packet_port.h
+++ b/src/packet_port.h
@@ -3,8 +3,8 @@
 // for packets that are not held. The packet format is defined by a codec.
 #pragma once
 
-#include "held_packets.h"
 #include "net.h"
+#include "packet_hold_queue.h"
 #include "steering_node.h"
 
 #include <boost/asio/ip/udp.hpp>
--- a/src/replica_node.cpp
+++ b/src/replica_node.cpp
@@ -6,7 +6,7 @@
 #include "metrics.h"
 #include "net.h"
 #include "prober_choice.h"
-#include "replica_folder.h"
+#include "replica_storage.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
--- a/src/replica_node.h
+++ b/src/replica_node.h
@@ -3,16 +3,16 @@
 // maintains the target directory and answers typed calls; its owner provides the external API.
 #pragma once
 
-#include "background_file.h"
-#include "log_budget.h"
+#include "async_file_writer.h"
+#include "log_rate_limiter.h"
 #include "node_links.h"
-#include "reach_watch.h"
+#include "reachability_tracker.h"
 #include "replica_driver.h"
 #include "routing_state.h"
 #include "settings.h"
 #include "target_exchange.h"
 #include "target_prober.h"
-#include "version_watch.h"
+#include "version_tracker.h"
 
 #include <boost/asio/steady_timer.hpp>
 
--- a/src/replica_choice.cpp
+++ b/src/replica_selector.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Replica selector: implementation.
-#include "replica_choice.h"
+#include "replica_selector.h"
 
 #include "hash.h"
 
--- a/src/replica_folder.cpp
+++ b/src/replica_storage.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Replica folder: implementation.
-#include "replica_folder.h"
+#include "replica_storage.h"
 
 #include "durable_file.h"
 #include "hash.h"
--- a/src/request_engine.h
+++ b/src/request_engine.h
@@ -7,11 +7,11 @@
 #pragma once
 
 #include "answer_assembly.h"
+#include "answer_cache.h"
 #include "balancer_context.h"
 #include "fair_queue.h"
-#include "offload_windows.h"
+#include "offload_deduplicator.h"
 #include "retry_budget.h"
-#include "settled_answers.h"
 #include "slot_policy.h"
 
 #include <queue>
--- a/src/secure_links.h
+++ b/src/secure_links.h
@@ -2,8 +2,8 @@
 // Secure links: authenticated message links to peers at configured addresses, dialled again whenever they break.
 #pragma once
 
+#include "link_activity.h"
 #include "link_message.h"
-#include "link_silence.h"
 #include "secure_session.h"
 #include "websocket_hub.h"
 
--- a/src/steering_node.h
+++ b/src/steering_node.h
@@ -5,11 +5,11 @@
 
 #include "directory_follower.h"
 #include "flow_steering.h"
-#include "log_budget.h"
+#include "log_rate_limiter.h"
 #include "node_links.h"
-#include "replica_choice.h"
+#include "replica_selector.h"
 #include "settings.h"
-#include "standstill_watch.h"
+#include "stall_detector.h"
 #include "target_probe.h"
 
 #include <boost/asio/steady_timer.hpp>
--- a/src/target_directory.h
+++ b/src/target_directory.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "directory_digest.h"
-#include "heard_targets.h"
+#include "target_leases.h"
 #include "target_record.h"
 
 #include <map>
--- a/src/target_exchange.h
+++ b/src/target_exchange.h
@@ -3,13 +3,13 @@
 // replicas, publishes them to the balancers, and confirms drains once enough replicas know of them.
 #pragma once
 
-#include "directory_answers.h"
+#include "change_batch.h"
 #include "directory_publisher.h"
 #include "directory_reconciler.h"
+#include "directory_responder.h"
 #include "drain_confirmations.h"
-#include "log_budget.h"
+#include "log_rate_limiter.h"
 #include "metrics.h"
-#include "news_batch.h"
 #include "target_probe.h"
 
 namespace Robinrail {
--- a/src/heard_targets.cpp
+++ b/src/target_leases.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Target leases: implementation.
-#include "heard_targets.h"
+#include "target_leases.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/target_prober.h
+++ b/src/target_prober.h
@@ -2,7 +2,7 @@
 // Target prober: tries to connect to targets that balancers report as silent.
 #pragma once
 
-#include "standstill_watch.h"
+#include "stall_detector.h"
 #include "target_probe.h"
 
 #include <boost/asio/io_context.hpp>
--- a/tests/mutations.sh
+++ b/tests/mutations.sh
@@ -59,7 +59,7 @@
 mutate "no fence at the handover" src/handover.cpp \
     'return sent != m_sent.end() ? std::optional(sent->second.to) : std::nullopt;' \
     'return sent == m_sent.end() ? std::optional(BalancerKey{}) : std::nullopt;' '*stopping balancer hands*'
-mutate "no deduplication of offloads" src/offload_windows.cpp \
+mutate "no deduplication of offloads" src/offload_deduplicator.cpp \
     'if (attempt.serial <= window.floor || !window.seen.emplace(attempt.serial, now).second) {' \
     'if (attempt.serial <= window.floor) {' '*offload runs at most once*,*tenth of the packets*'
 mutate "answers complete with any part" src/answer_assembly.h 'return m_received == m_count ?' 'return m_received > 0 ?' \
@@ -140,17 +140,17 @@
     '*confirmed drain needs*,*depend on its duration*'
 mutate "loss: the replicas of one data centre are enough" src/loss_tolerance.h 'dataCentresHeld.size() > dataCentres' '!dataCentresHeld.empty()' \
     '*data centre alone*,*all replicas of one data centre*'
-mutate "leases: those of a lost link stay" src/heard_targets.cpp 'm_links.erase(link);' 'm_links.try_emplace(link);' '*lost link ends them*'
+mutate "leases: those of a lost link stay" src/target_leases.cpp 'm_links.erase(link);' 'm_links.try_emplace(link);' '*lost link ends them*'
 mutate "leases: the age of an expired lease is ignored" src/target_directory.cpp 'std::min(found->second.lastHeard, now - lease.age)' \
     'std::max(found->second.lastHeard, now - lease.age)' '*silent target is detected through leases*'
 mutate "probers: those of one data centre first" src/prober_choice.h 'rankInDataCentre[place.dataCentre]++' '0 * rankInDataCentre[place.dataCentre]++' \
     '*are the same everywhere*'
-mutate "replica selector: a replica without a quorum is still followed" src/replica_choice.cpp 'now - at->second.confirmedAt < HealthTimeout' \
+mutate "replica selector: a replica without a quorum is still followed" src/replica_selector.cpp 'now - at->second.confirmedAt < HealthTimeout' \
     'at->second.confirmedAt <= now' '*leaves a replica that lost its quorum*'
-mutate "replica selector: all balancers fail back at once" src/replica_choice.cpp 'now >= m_states.at(replica).failbackAt' 'now >= TimePoint{}' '*fail back to a recovered replica one after the other*'
-mutate "replica selector: the source changes before its directory is complete" src/replica_choice.cpp 'if (m_nextSource && m_states.at(*m_nextSource).completed) {' \
+mutate "replica selector: all balancers fail back at once" src/replica_selector.cpp 'now >= m_states.at(replica).failbackAt' 'now >= TimePoint{}' '*fail back to a recovered replica one after the other*'
+mutate "replica selector: the source changes before its directory is complete" src/replica_selector.cpp 'if (m_nextSource && m_states.at(*m_nextSource).completed) {' \
     'if (m_nextSource) {' '*until another directory is complete*'
-mutate "version watch: a lagging replica vouches" src/version_watch.h 'caughtUp && own.reaches(m_highest)' 'caughtUp && (own.reaches(m_highest) || caughtUp)' '*lags behind another*'
+mutate "version watch: a lagging replica vouches" src/version_tracker.h 'caughtUp && own.reaches(m_highest)' 'caughtUp && (own.reaches(m_highest) || caughtUp)' '*lags behind another*'
 mutate "no compare-and-set on versions" src/control_state.cpp 'if (propose.baseVersion != latestVersion()) {' \
     'if (propose.baseVersion > latestVersion()) {' '*equal numbers*'
 mutate "no memory of changes" src/control_state.cpp 'if (const ChangeResult *known = findResult(change.change)) {' \
--- a/tests/test_directory_digest.cpp
+++ b/tests/test_directory_digest.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Directory digest: replicas that connect converge to the same targets without sending those that both have.
-#include "directory_answers.h"
 #include "directory_reconciler.h"
+#include "directory_responder.h"
 
 #include <doctest/doctest.h>
 #include <pcg_random.hpp>
--- a/tests/test_links.cpp
+++ b/tests/test_links.cpp
@@ -5,7 +5,7 @@
 #include "net.h"
 #include "node_links.h"
 #include "raft_core.h"
-#include "reach_watch.h"
+#include "reachability_tracker.h"
 #include "secure_links.h"
 
 #include <boost/asio/io_context.hpp>
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: MIT
 // Small components: request window, answer assembly, fair queue, retry budget, answer cache, datagram guard, metrics, log output.
 #include "answer_assembly.h"
-#include "datagram_guard.h"
+#include "answer_cache.h"
+#include "datagram_authenticator.h"
 #include "fair_queue.h"
 #include "flow_table.h"
 #include "metrics.h"
 #include "retry_budget.h"
-#include "settled_answers.h"
 
-#include "lossy_output.h"
+#include "non_blocking_line_buffer.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/test_replica.cpp
+++ b/tests/test_replica.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
 // Tests of the data folder of a routing replica and of the replica driver.
 #include "replica_driver.h"
-#include "replica_folder.h"
+#include "replica_storage.h"
 #include "routing_state.h"
 #include "test_disk.h"
 
-#include "background_file.h"
+#include "async_file_writer.h"
 #include "durable_file.h"
 
 #include <boost/leaf/handle_errors.hpp>
--- a/tests/test_replica_choice.cpp
+++ b/tests/test_replica_selector.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Replica selector: which replica a balancer follows. Announcement choice: which replica a target announces itself to.
 #include "announcement_choice.h"
-#include "replica_choice.h"
+#include "replica_selector.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/test_soak.cpp
+++ b/tests/test_soak.cpp
@@ -2,12 +2,12 @@
 // Soak: fault tracking and version checks of the fault soak, and packets and documents of the simulated parties.
 #include "document_codec.h"
 #include "fault_proxy.h"
-#include "network_claim.h"
+#include "loopback_network_lock.h"
 #include "packet_codec.h"
-#include "replica_watch.h"
+#include "replica_version_checker.h"
 #include "soak_types.h"
 #include "standin_wire.h"
-#include "target_fleet.h"
+#include "target_simulator.h"
 
 #include <boost/asio/connect.hpp>
 #include <boost/asio/write.hpp>
--- a/tests/test_steering.cpp
+++ b/tests/test_steering.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Flow steering: where packets go, and when targets become suspect. Stall detection and held packets.
-#include "held_packets.h"
-#include "standstill_watch.h"
+#include "packet_hold_queue.h"
+#include "stall_detector.h"
 #include "steering_balancer.h"
 #include "target_directory.h"
 
--- a/tests/test_heard_targets.cpp
+++ b/tests/test_target_leases.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Target leases: a replica's leases on targets, sent as differences and renewed by heartbeats.
-#include "heard_targets.h"
 #include "node_message.h"
 #include "target_directory.h"
+#include "target_leases.h"
 
 #include <doctest/doctest.h>
 #include <pcg_random.hpp>
--- a/tests/test_targets.cpp
+++ b/tests/test_targets.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Targets: the replicas' target directory, confirmed drains, and the ordering of versions.
+#include "change_batch.h"
 #include "drain_confirmations.h"
-#include "news_batch.h"
 #include "routing_state.h"
 #include "target_directory.h"
 
--- a/tests/test_version_watch.cpp
+++ b/tests/test_version_tracker.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Tests of the version tracker: when a replica may confirm its routing version as the newest one.
 #include "raft_core.h"
-#include "version_watch.h"
+#include "version_tracker.h"
 
 #include <doctest/doctest.h>
 
