--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays seeds of the fault soak, four at a time, and keeps the logs of those that broke a promise.
-# Usage: scripts/soak.sh FIRST COUNT [SECONDS]   seeds of that many seconds of trouble (default 15)
+# Plays seeds of the fault soak, four at a time, and keeps the logs of those that violated an invariant.
+# Usage: scripts/soak.sh FIRST COUNT [SECONDS]   seeds with faults for that many seconds (default 15)
 #        scripts/soak.sh --regressions           the seeds of soak/regressions.txt, as CI does
 # Ends with "seeds: N kept, N broken".
 set -uo pipefail
